--- a/src/registry/session/dial_budget.rs
+++ b/src/registry/session/dial_budget.rs
@@ -1,12 +1,14 @@
-//! A token bucket for dials: a registry that accepts connections and drops them at once must not be flooded.
+//! A token bucket for dials. It limits the rate of dials to a registry that accepts connections and closes them at
+//! once: pauses alone don't bound that rate, since each complete list resets the count of failures.
 
 use crate::routing::events::Micros;
 
-/// Dials in a row before the budget delays the next one.
+/// Capacity of the bucket: the number of dials in a row before the budget delays the next one.
 const BURST_DIALS: f64 = 20.0;
-/// Dials that are added to the budget within the longest pause.
+/// Number of dials that are added to the budget during one longest pause.
 const DIALS_PER_LONGEST_PAUSE: f64 = 4.0;
 
+/// The dials that are available now.
 #[derive(Clone, Debug)]
 pub(super) struct DialBudget {
     dials: f64,
@@ -18,7 +20,7 @@
         DialBudget { dials: BURST_DIALS, refilled_at: now }
     }
 
-    /// Takes one dial; `false`: the budget is used up.
+    /// Takes one dial from the budget; returns `false` if the budget is exhausted.
     pub(super) fn take(&mut self, now: Micros, longest_pause: Micros) -> bool {
         let refill = DIALS_PER_LONGEST_PAUSE * (now.saturating_sub(self.refilled_at)) as f64
             / longest_pause.max(1) as f64;
--- a/src/registry/session/endpoint_table.rs
+++ b/src/registry/session/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoints' keys as last listed or watched, the deletions that late events are checked against, and the updates
-//! that follow for the list of endpoints.
+//! The endpoints' keys as of the last list or watch event, the recent deletions that identify late events, and the
+//! resulting updates of the list of endpoints.
 
 use super::outputs::{StartTime, Update};
 use crate::registry::answers::KeyEntry;
@@ -9,25 +9,25 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Deletions that are remembered.
+/// Maximum number of deletions that are remembered.
 const MAX_DELETIONS: usize = 4_096;
-/// Low bits of a process's number that hold its create revision; above them is the count of restores.
+/// Number of low bits of a process number that hold the create revision; the bits above hold the number of restores.
 const CREATE_REVISION_BITS: u32 = 48;
 
-/// From where an entry comes, and what is therefore known of its process.
+/// The origin of an entry. It determines what is known about the start of the endpoint's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// From a snapshot, which may be long out of date.
+    /// A snapshot, which may be long out of date.
     Snapshot,
-    /// From the first list of all.
+    /// The first list of this session.
     FirstList,
-    /// From a later list or a watch.
+    /// A later list or a watch event.
     Update,
-    /// From the first list after the registry was restored or replaced: revisions start over.
+    /// The first list after the registry was restored or replaced. Its revisions can't be compared with earlier ones.
     RestoredList,
 }
 
-/// What is known of one key.
+/// The last known state of one key.
 #[derive(Clone, Debug)]
 pub(super) struct KnownKey {
     create_revision: u64,
@@ -35,12 +35,12 @@
     process: u64,
     id: Option<Id>,
     endpoint: Option<Arc<EndpointRecord>>,
-    /// The number of the list that last had it; 0: only a snapshot had it.
+    /// Number of the last list that contained the key; 0 if only a snapshot contained it.
     list: u64,
 }
 
 impl KnownKey {
-    /// Whether a new entry is of the same process.
+    /// Returns whether a new entry of this key belongs to the same process as the known one.
     fn is_same_process(
         &self,
         create_revision: u64,
@@ -50,19 +50,21 @@
         if source != Source::RestoredList {
             return self.create_revision == create_revision;
         }
-        // Revisions from before a restore say nothing; the same address and the same start do.
+        // Revisions from before and after a restore can't be compared, so address and start time identify the process.
         let identity = |endpoint: &EndpointRecord| (endpoint.address, endpoint.started_ms);
         self.endpoint.is_some() && self.endpoint.as_deref().map(identity) == endpoint.map(identity)
     }
 }
 
+/// The known keys, the recent deletions and the pending updates of the list of endpoints.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointTable {
     pub(super) keys: FxHashMap<Arc<[u8]>, KnownKey>,
     pub(super) deletions: Deletions,
     updates: VecDeque<Update>,
+    /// How often the registry was restored or replaced during this session.
     restores: u64,
-    /// The number of the latest list that was begun to be applied.
+    /// Number of the latest list whose application has begun.
     list: u64,
 }
 
@@ -84,7 +86,7 @@
         self.keys.contains_key(key)
     }
 
-    /// Entries as they are to be saved: those whose records could be read.
+    /// Returns the entries for a snapshot: those with a usable record.
     pub(super) fn saved_entries(&self) -> impl Iterator<Item = KeyEntry> + '_ {
         self.keys.iter().filter_map(|(key, known)| {
             Some(KeyEntry {
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Begins to apply a new list.
+    /// Begins the application of a new list.
     pub(super) fn begin_list(&mut self, is_restored: bool) {
         if is_restored {
             self.restores += 1;
@@ -106,17 +108,17 @@
         self.list += 1;
     }
 
-    /// Whether an entry of a list tells anything new.
-    pub(super) fn is_news(&self, entry: &KeyEntry, source: Source) -> bool {
-        // What only a snapshot had is reported again, now that it is certain.
+    /// Returns whether an entry of a list changes the table.
+    pub(super) fn is_change(&self, entry: &KeyEntry, source: Source) -> bool {
+        // A key that only a snapshot contained is reported again, because the list confirms it.
         let is_newer = |known: &KnownKey| known.mod_revision < entry.mod_revision || known.list == 0;
         source == Source::RestoredList || self.keys.get(&entry.key).is_none_or(is_newer)
     }
 
-    /// Applies an entry of the list that was begun.
+    /// Applies an entry of the current list.
     pub(super) fn put_listed(&mut self, entry: KeyEntry, source: Source) {
         let key = entry.key.clone();
-        if self.is_news(&entry, source) {
+        if self.is_change(&entry, source) {
             self.put(entry, source);
         }
         if let Some(known) = self.keys.get_mut(&key) {
@@ -124,14 +126,14 @@
         }
     }
 
-    /// Ends the list that was begun: deletes the keys that it lacks.
+    /// Ends the application of the current list: deletes the keys that the list lacks.
     pub(super) fn end_list(&mut self, revision: u64) {
-        let lacking = self.keys.iter().filter(|(_, known)| known.list != self.list);
-        let deleted: Vec<Arc<[u8]>> = lacking.map(|(key, _)| key.clone()).collect();
+        let unlisted = self.keys.iter().filter(|(_, known)| known.list != self.list);
+        let deleted: Vec<Arc<[u8]>> = unlisted.map(|(key, _)| key.clone()).collect();
         deleted.iter().for_each(|key| self.delete(key, revision));
     }
 
-    /// Applies a key as it is now.
+    /// Stores the current state of a key and queues the resulting update.
     pub(super) fn put(&mut self, entry: KeyEntry, source: Source) {
         let KeyEntry { id, key, create_revision, mod_revision, endpoint } = entry;
         let endpoint = endpoint.ok();
@@ -156,14 +158,14 @@
         self.keys.insert(key, known);
     }
 
-    /// Deletes a key.
+    /// Deletes a key, queues the resulting update and remembers the revision of the deletion.
     pub(super) fn delete(&mut self, key: &Arc<[u8]>, revision: u64) {
         let known = self.keys.remove(key);
         self.updates.extend(known.and_then(|known| known.id).map(Update::Removed));
         self.deletions.insert(key.clone(), revision);
     }
 
-    /// The revision of the latest change of a key, or of its deletion.
+    /// Returns the revision of the latest known change or deletion of a key; `None` if neither is known.
     pub(super) fn latest_revision(&self, key: &Arc<[u8]>) -> Option<u64> {
         let changed = self.keys.get(key).map(|known| known.mod_revision);
         changed.max(self.deletions.revisions.get(key).copied())
@@ -174,16 +176,16 @@
     }
 }
 
-/// The latest deletions: an event from before one must be known to be late.
+/// The latest deletions. Without them, a late event from before a deletion would restore the deleted key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Deletions {
     pub(super) revisions: FxHashMap<Arc<[u8]>, u64>,
-    /// In order of deletion. An entry counts only while its revision is that of the map.
+    /// Keys in order of deletion. An entry is valid only while `revisions` has the same revision for its key.
     order: VecDeque<(Arc<[u8]>, u64)>,
 }
 
 impl Deletions {
-    /// Forgets a deletion, since the key is there again.
+    /// Removes the deletion of a key that exists again.
     pub(super) fn remove(&mut self, key: &Arc<[u8]>) {
         self.revisions.remove(key);
     }
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -1,4 +1,4 @@
-//! Reading a list page by page as of one revision, and applying it once it is whole.
+//! Reading a list page by page as of one revision, and applying it once it is complete.
 
 use super::endpoint_table::Source;
 use super::restore::RestoreTimes;
@@ -10,30 +10,33 @@
 use crate::registry::status::{code, Status};
 use crate::routing::events::Micros;
 
-/// Lists begun anew on one connection because of compaction before another endpoint is tried.
-const MAX_RESTARTS: u32 = 16;
-/// Keys of a list that are applied in one turn, so that a long list does not hold up everything else.
+/// Maximum number of times a list is restarted on one connection because its revision was compacted. After that, the
+/// next endpoint is dialed.
+const MAX_LIST_RESTARTS: u32 = 16;
+/// Maximum number of keys of a list that are applied in one turn of the event loop, so that a long list does not delay
+/// other work.
 const KEYS_PER_TURN: usize = 1_000;
 
 /// A list that is being read or applied.
 #[derive(Clone, Debug)]
 pub(super) struct List {
     pub(super) connection: Connection,
-    /// The call for the page that is awaited.
+    /// Number of the call for the current page.
     call: u64,
-    /// When the first list on this connection began, for the log.
+    /// When reading began, before any restarts; determines the duration in the log.
     began: Micros,
-    /// When this list was requested: as of then it is current.
+    /// When this list was requested, and thus the time at which the list is known to be current.
     requested: Micros,
-    /// The cluster and the revision that all pages are of; revision 0: no page has arrived yet.
+    /// The cluster and the revision of all pages; the revision is 0 until the first page has arrived.
     pub(super) header: Header,
     /// The first key of the next page.
     from: Vec<u8>,
-    /// Keys in the next page; 0: one, without its value.
+    /// Maximum number of keys in the next page; 0 requests one key without its value.
     limit: usize,
     pub(super) entries: Vec<KeyEntry>,
+    /// How often the list was restarted on this connection because its revision was compacted.
     restarts: u32,
-    /// The registry was restored or replaced.
+    /// Whether this is the first list after the registry was restored or replaced.
     pub(super) is_restored: bool,
     application: Option<Application>,
 }
@@ -42,22 +45,24 @@
 #[derive(Clone, Debug)]
 struct Application {
     remaining: std::vec::IntoIter<KeyEntry>,
+    /// Number of keys in the list.
     keys: usize,
+    /// Number of updates of the list of endpoints so far.
     changes: usize,
 }
 
-/// What an endpoint's first page says of the state that it shows.
-enum Verdict {
-    /// It is no older than what was accepted.
+/// How the state that an endpoint reports compares with the accepted one.
+enum StateComparison {
+    /// The state is no older than the accepted one.
     Current,
     /// The registry was restored or replaced.
     Restored,
-    /// It is older, or another cluster's.
+    /// The state is older or of another cluster, without evidence of a restore.
     Rejected,
 }
 
 impl List {
-    /// The first list on a connection.
+    /// Creates a list that has not been restarted.
     pub(super) fn first(connection: Connection, now: Micros) -> Self {
         List {
             connection,
@@ -74,23 +79,25 @@
         }
     }
 
-    /// The list once more on the same connection, because its revision was compacted.
+    /// Creates the list that replaces this one on the same connection after its revision was compacted.
     fn restarted(&self, now: Micros) -> Self {
         let restarts = self.restarts + 1;
         List { began: self.began, restarts, ..List::first(self.connection, now) }
     }
 
+    /// Returns whether this call is for the current page.
     pub(super) fn awaits(&self, call: u64) -> bool {
         self.call == call
     }
 
+    /// Returns whether all pages have arrived and some entries are not applied yet.
     pub(super) fn is_being_applied(&self) -> bool {
         self.application.is_some()
     }
 }
 
 impl Session {
-    /// Reads a list, in place of the watch if there is one.
+    /// Cancels the watch, if any, and requests the first page of a list.
     pub(super) fn start_list(&mut self, now: Micros, mut list: List, actions: &mut Vec<Action>) {
         if let State::Watching { watch, .. } = &self.state {
             actions.push(Action::CancelWatch { watch: watch.details.0 });
@@ -115,12 +122,13 @@
         });
     }
 
-    /// The call for a page has failed.
+    /// Handles a failed call for a page: restarts a compacted list, requests a smaller page if the page was too large,
+    /// and closes the connection otherwise.
     pub(super) fn page_failed(&mut self, now: Micros, status: Status, actions: &mut Vec<Action>) {
         let State::Listing { list, .. } = &mut self.state else { return };
         let revision = list.header.revision;
         if status.code == code::OUT_OF_RANGE && revision > 0 {
-            if list.restarts >= MAX_RESTARTS {
+            if list.restarts >= MAX_LIST_RESTARTS {
                 return self.give_up(now, DisconnectReason::Compacted, actions);
             }
             let restarted = list.restarted(now);
@@ -128,14 +136,14 @@
             return self.start_list(now, restarted, actions);
         }
         if status.code == code::RESOURCE_EXHAUSTED && list.limit > 0 {
-            // The page is too large. Of a single key that is too large only the name is requested.
+            // The page is too large. If it holds a single key, the key is requested without its value.
             list.limit /= 2;
             return self.request_page(now, actions);
         }
         self.give_up(now, DisconnectReason::CallFailed(status), actions);
     }
 
-    /// A page has arrived.
+    /// Handles a page: adds its entries to the list, then requests the next page or applies the complete list.
     pub fn page_received(&mut self, now: Micros, call: u64, page: Page, actions: &mut Vec<Action>) {
         let State::Listing { list, .. } = &self.state else { return };
         if !list.awaits(call) {
@@ -159,7 +167,7 @@
         }
     }
 
-    /// Checks a page and adds its entries to the list.
+    /// Checks a page, adds its entries to the list and adjusts the size of the next page.
     fn take_page(
         &mut self,
         now: Micros,
@@ -189,7 +197,7 @@
         Ok(())
     }
 
-    /// Pins the list to the revision of its first page, and checks that the others are of it.
+    /// Pins the list to the cluster and revision of its first page, and checks that later pages match them.
     fn check_page_header(
         &mut self,
         now: Micros,
@@ -199,10 +207,10 @@
         let State::Listing { connection, list, .. } = &self.state else { return Ok(()) };
         let pinned = list.header;
         if pinned.revision == 0 {
-            let is_restored = match self.judge(now, connection.endpoint, header, actions) {
-                Verdict::Current => false,
-                Verdict::Restored => true,
-                Verdict::Rejected => return Err(DisconnectReason::StateRejected),
+            let is_restored = match self.compare_state(now, connection.endpoint, header, actions) {
+                StateComparison::Current => false,
+                StateComparison::Restored => true,
+                StateComparison::Rejected => return Err(DisconnectReason::StateRejected),
             };
             let State::Listing { list, .. } = &mut self.state else { return Ok(()) };
             (list.header, list.is_restored) = (header, is_restored);
@@ -212,16 +220,23 @@
         Ok(())
     }
 
-    /// Judges the state that an endpoint shows by the one that was accepted.
-    fn judge(&mut self, now: Micros, endpoint: usize, header: Header, actions: &mut Vec<Action>) -> Verdict {
+    /// Compares the state that an endpoint reports with the accepted one. Reports a state that is not accepted as a
+    /// notice.
+    fn compare_state(
+        &mut self,
+        now: Micros,
+        endpoint: usize,
+        header: Header,
+        actions: &mut Vec<Action>,
+    ) -> StateComparison {
         #[cfg(test)]
         if self.fault == Some(super::Fault::AcceptsOldLists) {
-            return Verdict::Current;
+            return StateComparison::Current;
         }
         let Header { cluster, revision } = header;
         if self.position.accepts(cluster, revision) {
             self.restore_detector.clear();
-            return Verdict::Current;
+            return StateComparison::Current;
         }
         self.counters.doubted += 1;
         let accepted = self.position.revision;
@@ -231,17 +246,17 @@
         if self.restore_detector.observe(now, endpoint, header, is_same_cluster, times) {
             actions.push(Action::Notify(Notice::Restored { cluster, revision, accepted }));
             self.restore_detector.clear();
-            return Verdict::Restored;
+            return StateComparison::Restored;
         }
         actions.push(Action::Notify(if is_same_cluster {
             Notice::MemberBehind { endpoint, revision, accepted }
         } else {
             Notice::OtherCluster { endpoint, cluster }
         }));
-        Verdict::Rejected
+        StateComparison::Rejected
     }
 
-    /// All pages have arrived: begins to apply the list.
+    /// Begins to apply the list, all pages of which have arrived.
     fn complete_list(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let State::Listing { until, list, .. } = &mut self.state else { return };
         let remaining = std::mem::take(&mut list.entries).into_iter();
@@ -252,14 +267,15 @@
         self.apply_list(now, actions);
     }
 
-    /// Applies a slice of the list. After the last one, removes what the list lacks and watches from its revision on.
+    /// Applies the next batch of entries. After the last batch, removes the keys that the list lacks and watches for
+    /// changes after its revision.
     pub(super) fn apply_list(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let State::Listing { list, .. } = &mut self.state else { return };
         let Some(mut application) = list.application.take() else { return };
         let (revision, source) = (list.header.revision, self.list_source());
         let updates_before = self.table.updates().len();
         for entry in application.remaining.by_ref().take(KEYS_PER_TURN) {
-            if self.table.is_news(&entry, source) {
+            if self.table.is_change(&entry, source) {
                 self.report_unreadable(&entry, actions);
             }
             self.table.put_listed(entry, source);
@@ -277,6 +293,7 @@
         }
     }
 
+    /// Returns the origin of the entries of the current list.
     fn list_source(&self) -> Source {
         match &self.state {
             State::Listing { list, .. } if list.is_restored => Source::RestoredList,
@@ -293,7 +310,7 @@
         self.table.end_list(revision);
     }
 
-    /// The whole list is applied: accepts its state and watches what follows it.
+    /// Accepts the cluster and revision of the applied list and creates a watch from the next revision.
     fn finish_list(&mut self, now: Micros, application: Application, actions: &mut Vec<Action>) {
         let State::Listing { connection, list, .. } = &self.state else { return };
         let (connection, Header { cluster, revision }) = (*connection, list.header);
@@ -305,7 +322,7 @@
         } else {
             self.position.advance(revision);
         }
-        self.is_overfull = false;
+        self.exceeds_max_keys = false;
         self.rotation.record_success();
         self.counters.lists += 1;
         let Application { keys, changes, .. } = application;
@@ -316,6 +333,7 @@
         self.state = ConnectionState::Watching { connection, watch };
     }
 
+    /// Returns the first revision that the watch after a list at revision `listed` must report.
     fn first_watched_revision(&self, listed: u64) -> u64 {
         #[cfg(test)]
         if self.fault == Some(super::Fault::WatchesTooLate) {
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -1,12 +1,12 @@
-//! The session with a registry that lists the endpoints: what to ask which member, which answers are current, and
-//! what follows for the list of endpoints.
+//! The session with the registry that lists the endpoints. The session decides which member to send which request,
+//! whether a response is current, and which updates of the list of endpoints result.
 //!
-//! A state machine without clock, sockets and parser: its owner, [`super::driver`], tells it what has happened and
-//! carries out the [`Action`]s that it returns. `listing` reads lists, `watching` follows changes.
+//! The session is a state machine without clock, sockets or parser. Its owner, [`super::driver`], passes in each event
+//! and performs the [`Action`]s that the session returns. `listing` reads lists, `watching` follows changes.
 //!
 //! ```text
-//!          rested              dialed               all pages              compacted, miscounted,
-//!  Resting ------> Dialing ------------> Listing ------------> Watching -- unknown change --+
+//!         pause ends           connected            all pages              compacted, count differs,
+//!  Resting ------> Dialing ------------> Listing ------------> Watching -- event out of order --+
 //!     ^               |                     |  ^                  |                         |
 //!     |               |                     |  +------------------|-------------------------+
 //!     +---------------+---------------------+---------------------+ lost, timed out, rejected
@@ -14,12 +14,12 @@
 //!
 //! Invariants:
 //!
-//! - An endpoint that was drained or removed is never ready once a current list was taken. A list is applied only
-//!   whole, as of one revision, and only if that is no older than any that was accepted; what it lacks is removed. A
-//!   change is applied only if it is newer than what is known of its key.
-//! - No change is missed unnoticed. Changes that can't be placed, a count of keys that differs, and a watch that stays
-//!   behind the committed revision lead to a new list.
-//! - The last complete list stays until a newer one is complete.
+//! - An endpoint that was drained or removed is never ready once a current list was accepted. A list is applied only
+//!   when it is complete, as of one revision, and only if that revision is no older than the latest accepted one; keys
+//!   that the list lacks are removed. A change is applied only if it is newer than the latest known change of its key.
+//! - A missed change is always detected. A change whose order relative to the applied changes can't be determined, a
+//!   differing count of keys, and a watch that stays behind the committed revision each cause a new list to be read.
+//! - The last complete list stays in use until a newer one is complete.
 
 mod dial_budget;
 mod endpoint_table;
@@ -46,32 +46,32 @@
 use rand_pcg::Pcg32;
 use restore::RestoreDetector;
 
-/// After a timeout the first retries are spread over this part of the usual spread: each instance notices it at
-/// another moment already.
-const TIMEOUT_SPREAD_PART: Micros = 5;
+/// Divisor of the usual spread of the first retries after a timeout. A smaller spread is enough there, because
+/// instances already detect a timeout at different moments.
+const TIMEOUT_SPREAD_DIVISOR: Micros = 5;
 
 type WatchState = super::connection::consistency::WatchState<Event, u64, WatchNumber>;
 type State = ConnectionState<List, WatchState>;
 
-/// The number of a watch on its stream.
+/// The `watch_id` of a watch, chosen by the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct WatchNumber(i64);
 
-/// A planted fault, so that tests see that the checkers find one.
+/// A fault injected by a test, to show that the model check detects it.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Accepts a list of any revision.
+    /// The session accepts a list of any revision.
     AcceptsOldLists,
-    /// Watches from one revision too late.
+    /// The watch starts one revision too late.
     WatchesTooLate,
-    /// Keeps endpoints that a list lacks.
+    /// Endpoints that a new list lacks are kept.
     KeepsRemovedEndpoints,
-    /// Goes on watching after a compaction as if nothing were missing.
+    /// After a compaction the session creates a new watch without reading a new list.
     IgnoresCompaction,
 }
 
-/// The session.
+/// The state machine that keeps the list of endpoints in step with the registry; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Session {
     settings: Settings,
@@ -79,23 +79,24 @@
     rotation: EndpointRotation,
     dial_budget: DialBudget,
     state: State,
-    /// The latest state that was accepted.
+    /// The cluster and the latest revision that were accepted.
     position: Position<u64>,
     restore_detector: RestoreDetector,
     table: EndpointTable,
-    /// New keys were left out because there are too many: the counts can't agree.
-    is_overfull: bool,
-    /// As of when the table was last known to be current.
+    /// Whether new keys were left out since the last list because there are too many. The registry's count of keys
+    /// then differs from that of the table, without any change having been missed.
+    exceeds_max_keys: bool,
+    /// The latest time at which the table was known to be current.
     confirmed: Option<Micros>,
     last_number: u64,
     counters: Counters,
-    /// The fault that a test has planted.
+    /// The fault that a test has injected.
     #[cfg(test)]
     pub fault: Option<Fault>,
 }
 
 impl Session {
-    /// A session that begins now, with random numbers from `seed`.
+    /// Creates a session that may dial at once; `seed` initializes its random numbers.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let endpoints = settings.endpoints.len();
@@ -107,7 +108,7 @@
             position: Position::default(),
             restore_detector: RestoreDetector::new(endpoints),
             table: EndpointTable::default(),
-            is_overfull: false,
+            exceeds_max_keys: false,
             confirmed: None,
             last_number: 0,
             counters: Counters::default(),
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Starts with a saved list, unless a list was taken already.
+    /// Fills the table from a saved list, unless a list was accepted already.
     pub fn resume(&mut self, saved: SavedList) {
         if self.position.cluster.is_some() {
             return;
@@ -129,11 +130,12 @@
         }
     }
 
-    /// Takes new settings; another prefix requires a new session.
+    /// Applies new settings. If the endpoints differ, closes the connection and dials one of the new endpoints. The
+    /// prefix must not change: a different prefix requires a new session.
     pub fn reconfigure(&mut self, settings: Settings, now: Micros, actions: &mut Vec<Action>) {
-        let is_moved = self.settings.endpoints != settings.endpoints;
+        let endpoints_changed = self.settings.endpoints != settings.endpoints;
         self.settings = settings;
-        if is_moved {
+        if endpoints_changed {
             self.disconnect(actions);
             let endpoints = self.settings.endpoints.len();
             self.rotation = EndpointRotation::shuffled(endpoints, &mut self.rng);
@@ -142,42 +144,42 @@
         }
     }
 
-    /// When something is due without any input.
+    /// Returns when [`tick`](Self::tick) has something to do, even if no other input arrives.
     pub fn next(&self) -> Micros {
         self.state.due(self.settings.silence)
     }
 
-    /// Takes up to `max_updates` updates of the list.
+    /// Removes and returns up to `max_updates` pending updates of the list of endpoints, oldest first.
     pub fn take_updates(&mut self, max_updates: usize) -> impl Iterator<Item = Update> + '_ {
         self.table.take_updates(max_updates)
     }
 
-    /// Whether updates wait to be taken.
+    /// Returns whether there are pending updates of the list of endpoints.
     pub fn has_updates(&self) -> bool {
         !self.table.updates().is_empty()
     }
 
-    /// How many updates wait to be taken.
+    /// Returns the number of pending updates of the list of endpoints.
     pub fn pending_updates(&self) -> usize {
         self.table.updates().len()
     }
 
-    /// Whether a list is being applied, a slice at each tick.
+    /// Returns whether a list is being applied; each tick applies a batch of its keys.
     pub fn is_applying_list(&self) -> bool {
         matches!(&self.state, State::Listing { list, .. } if list.is_being_applied())
     }
 
-    /// Whether a whole list was taken and is being followed.
+    /// Returns whether a complete list was applied and the registry has confirmed the watch that follows it.
     pub fn is_watching(&self) -> bool {
         self.state.is_watching()
     }
 
-    /// As of when the list was last known to be current.
+    /// Returns the latest time at which the list was known to be current; `None` before the first list.
     pub fn confirmed(&self) -> Option<Micros> {
         self.confirmed
     }
 
-    /// The revision up to which all changes were applied; while there is no watch, the latest that was accepted.
+    /// Returns the revision up to which all changes were applied or, while there is no watch, the latest accepted one.
     pub fn revision(&self) -> u64 {
         match &self.state {
             State::Watching { watch, .. } => watch.revision,
@@ -185,24 +187,24 @@
         }
     }
 
-    /// The counters.
+    /// Returns the counters of this session.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How many keys are known.
+    /// Returns the number of known keys.
     pub fn keys(&self) -> usize {
         self.table.len()
     }
 
-    /// The list as it is to be saved; `None`: there is none yet.
+    /// Returns the list for a snapshot; `None` before the first list.
     pub fn saved_list(&self) -> Option<SavedList> {
         let cluster = self.position.cluster?;
         let entries = self.table.saved_entries().collect();
         Some(SavedList { cluster, revision: self.revision(), entries })
     }
 
-    /// Time has passed.
+    /// Handles the passing of time: does what is due at `now`, if anything.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.next() {
             return;
@@ -219,14 +221,14 @@
         }
     }
 
-    /// A dial has succeeded.
+    /// Handles a successful dial: requests the first page of a list.
     pub fn dialed(&mut self, now: Micros, connection: u64, actions: &mut Vec<Action>) {
         if let Some(connection) = self.state.dialing(connection) {
             self.start_list(now, List::first(connection, now), actions);
         }
     }
 
-    /// A connection was lost, or a dial failed.
+    /// Handles the loss of a connection or a failed dial.
     pub fn lost(&mut self, now: Micros, connection: u64, actions: &mut Vec<Action>) {
         let reason = match self.state.lost_phase(connection) {
             Some(LostPhase::Dialing) => DisconnectReason::Unreachable,
@@ -236,14 +238,14 @@
         self.give_up(now, reason, actions);
     }
 
-    /// A message that violates the protocol has arrived.
+    /// Handles a message that violates the protocol: closes the connection.
     pub fn invalid_message(&mut self, now: Micros, error: MessageError, actions: &mut Vec<Action>) {
         if matches!(self.state, State::Listing { .. } | State::Watching { .. }) {
             self.give_up(now, DisconnectReason::InvalidMessage(error), actions);
         }
     }
 
-    /// A call for a page or a count has failed.
+    /// Handles a failed call for a page or a count.
     pub fn call_failed(&mut self, now: Micros, call: u64, status: Status, actions: &mut Vec<Action>) {
         match &mut self.state {
             State::Listing { list, .. } if list.awaits(call) => self.page_failed(now, status, actions),
@@ -282,7 +284,7 @@
         Some(connection)
     }
 
-    /// Closes the connection and rests before the next dial.
+    /// Closes the connection and schedules the next dial after a pause.
     fn give_up(&mut self, now: Micros, reason: DisconnectReason, actions: &mut Vec<Action>) {
         let Some(Connection { endpoint, .. }) = self.disconnect(actions) else { return };
         self.counters.lost += 1;
@@ -290,7 +292,7 @@
         let pause = match reason {
             DisconnectReason::TooManyKeys => pauses.longest,
             DisconnectReason::TimedOut => {
-                self.rotation.backoff(pauses.spread / TIMEOUT_SPREAD_PART, pauses, &mut self.rng)
+                self.rotation.backoff(pauses.spread / TIMEOUT_SPREAD_DIVISOR, pauses, &mut self.rng)
             }
             _ => self.rotation.backoff(pauses.spread, pauses, &mut self.rng),
         };
@@ -299,7 +301,7 @@
         self.state = State::Resting { until: now + pause };
     }
 
-    /// Counts and reports an entry whose record can't be read.
+    /// Counts and reports an entry whose record is unusable; does nothing for a usable one.
     fn report_unreadable(&mut self, entry: &KeyEntry, actions: &mut Vec<Action>) {
         if let Err(error) = &entry.endpoint {
             self.counters.unreadable += 1;
--- a/src/registry/session/outputs.rs
+++ b/src/registry/session/outputs.rs
@@ -1,4 +1,4 @@
-//! What a session puts out: actions for its driver, updates of the list of endpoints, and notices for the operators.
+//! The outputs of a session: actions for its driver, updates of the list of endpoints, and notices for the operators.
 
 use crate::registry::answers::{KeyEntry, MessageError};
 use crate::registry::record::{EndpointRecord, RecordError};
@@ -6,52 +6,52 @@
 use crate::routing::events::{Id, Micros};
 use std::sync::Arc;
 
-/// What the driver is to do.
+/// An action that the driver must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Connect to an endpoint.
     Dial {
-        /// Identifies the connection from now on.
+        /// Id of the new connection.
         connection: u64,
-        /// The endpoint's index in the settings.
+        /// Index of the endpoint in the settings.
         endpoint: usize,
     },
     /// Close a connection.
     Disconnect {
-        /// The connection.
+        /// Id of the connection.
         connection: u64,
     },
     /// Read a page of keys.
     List {
-        /// The number of the call.
+        /// Number of the call.
         call: u64,
-        /// The first key.
+        /// First key of the page.
         from: Vec<u8>,
-        /// As of this revision; 0: the latest.
+        /// Revision to read; 0 for the latest.
         revision: u64,
-        /// Most keys in the page.
+        /// Maximum number of keys in the page.
         limit: usize,
-        /// Leave the values out.
+        /// Whether to omit the values.
         keys_only: bool,
     },
     /// Count the keys.
     Count {
-        /// The number of the call.
+        /// Number of the call.
         call: u64,
     },
     /// Create a watch.
     Watch {
-        /// Its number.
+        /// Id of the new watch.
         watch: i64,
-        /// The first revision whose changes are wanted.
+        /// First revision whose changes the watch reports.
         revision: u64,
     },
     /// Cancel a watch.
     CancelWatch {
-        /// Its number.
+        /// Id of the watch.
         watch: i64,
     },
-    /// Ask on the watch's stream for its progress.
+    /// Request the progress of the watch on its stream.
     RequestProgress,
     /// Write a notice to the log.
     Notify(Notice),
@@ -60,102 +60,101 @@
 /// A change of the list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// An endpoint as it is now.
+    /// An endpoint was registered or changed.
     Put {
-        /// Its id.
+        /// Id of the endpoint.
         id: Id,
-        /// What its record says.
+        /// Record of the endpoint.
         endpoint: Arc<EndpointRecord>,
-        /// Identifies the process; a later one has a larger number.
+        /// Number of the endpoint's process; a later process has a larger number.
         process: u64,
-        /// What is known of its start.
+        /// How the start time of the process is determined.
         start: StartTime,
     },
-    /// An endpoint's record can't be read: it gets no new requests.
+    /// The record of an endpoint is unusable: the endpoint receives no new requests.
     Unreadable(Id),
     /// An endpoint is no longer registered.
     Removed(Id),
 }
 
-/// What is known of the start of an endpoint.
+/// How the start time of an endpoint's process is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartTime {
-    /// As its record says; long ago if the record is silent.
+    /// The start time in the record; long ago if the record has none.
     Recorded,
-    /// As its record says; now if the record is silent: it was not there, or was another process, when an earlier
-    /// list was taken.
+    /// The start time in the record; now if the record has none, because an earlier list did not contain this process.
     RecordedOrNow,
-    /// Now, for all that is known: the record is from a snapshot, and may be long out of date.
+    /// Now, as the safe assumption: the record is from a snapshot, which may be long out of date.
     Unknown,
 }
 
-/// A notice for the operators.
+/// A notice for the operators, written to the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A list was taken.
+    /// A complete list was read and applied.
     ListTaken {
-        /// Its revision.
+        /// Revision of the list.
         revision: u64,
-        /// Keys in it.
+        /// Number of keys in the list.
         keys: usize,
-        /// Updates that it led to.
+        /// Number of resulting updates of the list of endpoints.
         changes: usize,
-        /// How long it took.
+        /// Time from the first request to the end of the application, in microseconds.
         took: Micros,
     },
-    /// A connection was lost or given up.
+    /// A connection was lost or closed because of a fault.
     Disconnected {
-        /// The endpoint.
+        /// Index of the endpoint in the settings.
         endpoint: usize,
-        /// Why.
+        /// The cause.
         reason: DisconnectReason,
     },
-    /// Revisions that were needed are compacted; a new list is read.
+    /// The registry has compacted a revision that the list or the watch needs; a new list is read.
     Compacted {
-        /// The revision that was needed.
+        /// Revision of the list, or up to which the watch was applied.
         revision: u64,
     },
-    /// The watch may have missed something; a new list is read.
+    /// The watch may have missed a change; a new list is read.
     Relisting(RelistReason),
-    /// A member shows less than was accepted.
+    /// A member reports an older revision than the accepted one.
     MemberBehind {
-        /// The endpoint.
+        /// Index of the endpoint in the settings.
         endpoint: usize,
-        /// The revision that it shows.
+        /// Revision that the member reports.
         revision: u64,
-        /// The revision that was accepted.
+        /// Latest accepted revision.
         accepted: u64,
     },
     /// A member belongs to another cluster.
     OtherCluster {
-        /// The endpoint.
+        /// Index of the endpoint in the settings.
         endpoint: usize,
-        /// The member's cluster.
+        /// Cluster id of the member.
         cluster: u64,
     },
-    /// The registry was restored from a backup or replaced: its list is taken whole.
+    /// The registry was restored from a backup or replaced: its list replaces the previous one.
     Restored {
-        /// Its cluster.
+        /// Cluster id of the registry.
         cluster: u64,
-        /// Its revision.
+        /// Revision of the registry.
         revision: u64,
-        /// The revision that was accepted before.
+        /// Latest revision that was accepted before.
         accepted: u64,
     },
-    /// A record can't be read; the endpoint counts as draining.
+    /// A record is unusable; its endpoint is treated as draining.
     UnreadableRecord {
-        /// Its key.
+        /// Key of the record.
         key: Arc<[u8]>,
-        /// Its revision.
+        /// Revision of the last change of the key.
         revision: u64,
-        /// Why.
+        /// The cause.
         error: RecordError,
     },
-    /// There are more keys than the settings allow: the previous list is kept.
+    /// The registry has more keys than the settings allow: a new list is rejected, and a watch leaves new keys out.
     TooManyKeys {
-        /// How many.
+        /// Number of keys.
         keys: u64,
-        /// How many are allowed.
+        /// Maximum number of keys.
         max_keys: usize,
     },
 }
@@ -163,67 +162,67 @@
 /// Why a new list is read on an open connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelistReason {
-    /// A message of the watch exceeds the size that is taken; a list comes in pages.
-    #[error("the watch brought more than one answer may hold")]
+    /// A message of the watch exceeds the maximum size; a list is read in pages instead.
+    #[error("a message of the watch exceeds the maximum message size")]
     WatchMessageTooLarge,
-    /// One change has more events than there may be keys.
-    #[error("more changes at once than there may be keys")]
+    /// One message, over all its fragments, has more events than the maximum number of keys.
+    #[error("a message of the watch has more events than the maximum number of keys")]
     TooManyEvents,
-    /// A change is of a key about which only a list can tell.
-    #[error("a change out of its order")]
+    /// The order of an event relative to the applied changes can't be determined.
+    #[error("a watch event is out of order")]
     EventOutOfOrder,
-    /// The registry counts another number of keys.
-    #[error("the count of keys differs")]
+    /// The registry's count of keys differs from the number of known keys.
+    #[error("the registry's count of keys differs from the number of known keys")]
     CountDiffers,
 }
 
-/// Why a connection is given up.
+/// Why a connection was lost or closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// The endpoint could not be dialed, or not in time.
+    /// The dial failed or timed out.
     Unreachable,
     /// The connection broke, or the peer closed it.
     ConnectionLost,
-    /// An answer did not come in time.
+    /// A response did not arrive in time.
     TimedOut,
     /// A call failed.
     CallFailed(Status),
     /// A message violates the protocol.
     InvalidMessage(MessageError),
-    /// The member shows an older state, or another cluster's.
+    /// The member reports an older revision than the accepted one, or another cluster.
     StateRejected,
-    /// There are more keys than the settings allow.
+    /// The registry has more keys than the settings allow.
     TooManyKeys,
-    /// Revisions were compacted faster than the list could be read.
+    /// Revisions were repeatedly compacted before the list was complete.
     Compacted,
 }
 
 /// Counters for the log and for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Connections begun.
+    /// Number of dials.
     pub dials: u64,
-    /// Connections lost or given up.
+    /// Number of connections that were lost or closed because of a fault, failed dials included.
     pub lost: u64,
-    /// Lists taken.
+    /// Number of lists that were read and applied.
     pub lists: u64,
-    /// Changes applied from watches.
+    /// Number of applied watch events.
     pub changes: u64,
-    /// Changes that had been applied already.
+    /// Number of watch events that were ignored because the same or a later change of the key was already applied.
     pub repeated: u64,
-    /// Records that could not be read.
+    /// Number of records that were unusable.
     pub unreadable: u64,
-    /// Answers that were not accepted as current.
+    /// Number of lists whose first page did not match the accepted state.
     pub doubted: u64,
 }
 
-/// A list that was saved, to start with while the registry can't be reached.
+/// The contents of a snapshot: a list to start with while the registry can't be reached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SavedList {
-    /// Its cluster.
+    /// Cluster id of the registry.
     pub cluster: u64,
-    /// Its revision.
+    /// Revision of the list.
     pub revision: u64,
-    /// The keys whose records could be read.
+    /// The keys with usable records.
     pub entries: Vec<KeyEntry>,
 }
--- a/src/registry/session/restore.rs
+++ b/src/registry/session/restore.rs
@@ -1,41 +1,43 @@
-//! Tells a member that lags or belongs to another cluster from a registry that was restored or replaced. One member
-//! may be wrong; if most endpoints show the same, it is the registry that has changed. Endpoints that merely show an
-//! older revision may still catch up, so they must do so for a while.
+//! Distinguishes a member that lags or belongs to another cluster from a registry that was restored or replaced. A
+//! single member may be wrong; if most endpoints report the same cluster, the registry itself has changed. Members that
+//! report an older revision of the same cluster may still catch up, so the restore is assumed only after they have
+//! reported it for some time.
 
 use crate::registry::answers::Header;
 use crate::routing::events::Micros;
 
-/// Longest pauses between dials for which an observation stays valid: every endpoint must have its turn.
-const VALID_LONGEST_PAUSES: Micros = 4;
+/// Minimum validity of an observation, in longest pauses between dials, so that every endpoint can be dialed meanwhile.
+const MIN_VALIDITY_PAUSES: Micros = 4;
 
-/// What one endpoint last showed that was not accepted.
+/// The state that one endpoint reported and that was not accepted.
 #[derive(Clone, Copy, Debug)]
 struct Observation {
     cluster: u64,
-    first: Micros,
-    last: Micros,
+    first_seen: Micros,
+    last_seen: Micros,
 }
 
 impl Observation {
-    /// Whether it was made of `cluster`, within `valid` before `now`, repeatedly and for `wait` at least.
-    fn supports(&self, cluster: u64, now: Micros, valid: Micros, wait: Micros) -> bool {
+    /// Returns whether this observation is of `cluster`, was last made within `validity` before `now`, and first made at
+    /// least `wait` ago. Unless `wait` is 0, a single observation is not enough.
+    fn supports(&self, cluster: u64, now: Micros, validity: Micros, wait: Micros) -> bool {
         self.cluster == cluster
-            && now - self.last <= valid
-            && now - self.first >= wait
-            && (self.first < self.last || wait == 0)
+            && now - self.last_seen <= validity
+            && now - self.first_seen >= wait
+            && (self.first_seen < self.last_seen || wait == 0)
     }
 }
 
-/// The observations, by endpoint.
+/// The latest observation of each endpoint whose state was not accepted.
 #[derive(Clone, Debug)]
 pub(super) struct RestoreDetector {
     observations: Vec<Option<Observation>>,
 }
 
-/// How long observations count.
+/// The times that decide whether observations amount to a restore.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RestoreTimes {
-    /// How long endpoints must show an older revision of the same cluster.
+    /// How long endpoints must report an older revision of the same cluster.
     pub(super) confirmation: Micros,
     /// Longest pause between dials.
     pub(super) longest_pause: Micros,
@@ -46,12 +48,13 @@
         RestoreDetector { observations: vec![None; endpoints] }
     }
 
-    /// Forgets all observations, since an endpoint showed a state that was accepted.
+    /// Discards all observations, because an endpoint reported a state that was accepted.
     pub(super) fn clear(&mut self) {
         self.observations.fill(None);
     }
 
-    /// Records that an endpoint shows a state that is not accepted; `true`: most endpoints agree on it.
+    /// Records that an endpoint reports a state that is not accepted. Returns whether most endpoints support the
+    /// observation, that is, whether the registry was restored or replaced.
     pub(super) fn observe(
         &mut self,
         now: Micros,
@@ -61,11 +64,12 @@
         times: RestoreTimes,
     ) -> bool {
         let earlier = self.observations[endpoint].filter(|earlier| earlier.cluster == header.cluster);
-        let first = earlier.map_or(now, |earlier| earlier.first);
-        self.observations[endpoint] = Some(Observation { cluster: header.cluster, first, last: now });
+        let first_seen = earlier.map_or(now, |earlier| earlier.first_seen);
+        self.observations[endpoint] =
+            Some(Observation { cluster: header.cluster, first_seen, last_seen: now });
         let wait = if is_same_cluster { times.confirmation } else { 0 };
-        let valid = times.confirmation.max(VALID_LONGEST_PAUSES * times.longest_pause);
-        let supports = |observation: &&Observation| observation.supports(header.cluster, now, valid, wait);
+        let validity = times.confirmation.max(MIN_VALIDITY_PAUSES * times.longest_pause);
+        let supports = |observation: &&Observation| observation.supports(header.cluster, now, validity, wait);
         let supporters = self.observations.iter().flatten().filter(supports).count();
         supporters > self.observations.len() / 2
     }
--- a/src/registry/session/watching.rs
+++ b/src/registry/session/watching.rs
@@ -1,4 +1,4 @@
-//! Following the changes after a list, and checking that none was missed.
+//! Following the changes after a list, and checking that no change was missed.
 
 use super::endpoint_table::Source;
 use super::listing::List;
@@ -9,21 +9,21 @@
 use crate::routing::events::Micros;
 
 impl Session {
-    /// A message of a watch has arrived.
+    /// Handles a message of a watch: applies its events once the last fragment has arrived.
     pub fn watch_message(&mut self, now: Micros, message: WatchMessage, actions: &mut Vec<Action>) {
         let State::Watching { watch, .. } = &mut self.state else { return };
         if message.watch != watch.details.0 && message.watch != -1 {
-            return; // Of a watch that was cancelled.
+            return; // A late message of a cancelled watch.
         }
         if self.position.cluster != Some(message.header.cluster) {
-            return self.give_up_on(now, MessageError::OtherClusterOnWatch, actions);
+            return self.reject_message(now, MessageError::OtherClusterOnWatch, actions);
         }
         if message.cancelled {
             return self.watch_cancelled(now, message, actions);
         }
         watch.created |= message.created;
         let header_revision = message.header.revision;
-        let tells_progress =
+        let reports_progress =
             message.events.is_empty() && !message.created && !message.fragment && watch.fragments.is_empty();
         watch.fragments.extend(message.events);
         if watch.fragments.len() > self.settings.most_keys {
@@ -35,19 +35,19 @@
         let events = std::mem::take(&mut watch.fragments);
         let latest = events.iter().map(Event::revision).max().unwrap_or(0);
         if latest > header_revision {
-            return self.give_up_on(now, MessageError::EventNewerThanHeader, actions);
+            return self.reject_message(now, MessageError::EventNewerThanHeader, actions);
         }
         if !self.apply_events(events, actions) {
             return self.relist(now, RelistReason::EventOutOfOrder, actions);
         }
         let State::Watching { watch, .. } = &mut self.state else { return };
-        let progress = if tells_progress && watch.created { header_revision } else { 0 };
+        let progress = if reports_progress && watch.created { header_revision } else { 0 };
         watch.revision = watch.revision.max(latest).max(progress);
         self.position.advance(watch.revision);
         self.conclude_check(now, actions);
     }
 
-    /// The stream of the watch has ended.
+    /// Handles the end of the watch stream. If a message was too large, reads a new list, which comes in pages.
     pub fn watch_ended(&mut self, now: Micros, status: Status, actions: &mut Vec<Action>) {
         if !matches!(self.state, State::Watching { .. }) {
             return;
@@ -58,6 +58,8 @@
         self.give_up(now, DisconnectReason::CallFailed(status), actions);
     }
 
+    /// Handles the registry's cancellation of the watch: reads a new list if the watch revision was compacted, and closes
+    /// the connection otherwise.
     fn watch_cancelled(&mut self, now: Micros, message: WatchMessage, actions: &mut Vec<Action>) {
         if message.compact_revision == 0 {
             let status = Status::new(code::UNAVAILABLE, message.cancel_reason);
@@ -82,18 +84,21 @@
         self.start_list(now, List::first(connection, now), actions);
     }
 
-    fn give_up_on(&mut self, now: Micros, error: MessageError, actions: &mut Vec<Action>) {
+    /// Closes the connection because of a message that violates the protocol.
+    fn reject_message(&mut self, now: Micros, error: MessageError, actions: &mut Vec<Action>) {
         self.give_up(now, DisconnectReason::InvalidMessage(error), actions);
     }
 
-    /// Applies events in order; `false`: one can't be placed, and only a list can tell.
+    /// Applies events in order. Returns `false` if the order of an event relative to the applied changes can't be
+    /// determined; a new list is then required.
     fn apply_events(&mut self, events: Vec<Event>, actions: &mut Vec<Action>) -> bool {
         let State::Watching { watch, .. } = &self.state else { return true };
         let applied = watch.revision;
         events.into_iter().all(|event| self.apply_event(event, applied, actions))
     }
 
-    /// Applies one event while all changes up to `applied` are known; `false`: it can't be placed.
+    /// Applies one event, given that all changes up to the revision `applied` were applied. Returns `false` if the order
+    /// of the event relative to them can't be determined.
     fn apply_event(&mut self, event: Event, applied: u64, actions: &mut Vec<Action>) -> bool {
         let revision = event.revision();
         let latest = self.table.latest_revision(event.key());
@@ -105,11 +110,11 @@
         match event {
             Event::Delete { .. } if !is_known => return true,
             Event::Delete { key, .. } => self.table.delete(&key, revision),
-            // Nothing is known of the key at a revision up to which everything should be: it may have been deleted
-            // since.
-            Event::Put(_) if latest.is_none() && revision <= applied => return self.is_overfull,
+            // An unknown key with a change that should already have been applied: the key may have been deleted since,
+            // by a deletion that is no longer remembered.
+            Event::Put(_) if latest.is_none() && revision <= applied => return self.exceeds_max_keys,
             Event::Put(_) if !is_known && self.table.len() >= self.settings.most_keys => {
-                self.notify_overfull(actions);
+                self.notify_too_many_keys(actions);
                 return true;
             }
             Event::Put(entry) => {
@@ -122,15 +127,15 @@
         true
     }
 
-    /// Reports, once for each list, that new keys are left out.
-    fn notify_overfull(&mut self, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.is_overfull, true) {
+    /// Reports that new keys are left out, at most once per list.
+    fn notify_too_many_keys(&mut self, actions: &mut Vec<Action>) {
+        if !std::mem::replace(&mut self.exceeds_max_keys, true) {
             let max_keys = self.settings.most_keys;
             actions.push(Action::Notify(Notice::TooManyKeys { keys: max_keys as u64 + 1, max_keys }));
         }
     }
 
-    /// Asks for the number of keys and for the watch's progress.
+    /// Begins a consistency check: requests the count of keys and the progress of the watch.
     pub(super) fn begin_check(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let call = self.next_number();
         let State::Watching { watch, .. } = &mut self.state else { return };
@@ -139,7 +144,7 @@
         actions.push(Action::RequestProgress);
     }
 
-    /// The answer to a count has arrived.
+    /// Handles the response to a count of keys.
     pub fn count_received(
         &mut self,
         now: Micros,
@@ -156,13 +161,13 @@
         check.answer = Some(KeyCount { revision: header.revision, keys });
         self.position.advance(header.revision);
         if header.revision > watch.revision {
-            // The progress may have been reported before this revision was there.
+            // The progress may have been reported before this revision was committed.
             actions.push(Action::RequestProgress);
         }
         self.conclude_check(now, actions);
     }
 
-    /// Ends the check once the watch has come as far as the registry was when it counted.
+    /// Ends the check once the watch has reached the revision of the count; reads a new list if the counts differ.
     fn conclude_check(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let keys = self.table.len() as u64;
         let State::Watching { watch, .. } = &mut self.state else { return };
@@ -172,7 +177,7 @@
         };
         watch.end_check(now, self.settings.check, &mut self.rng);
         self.confirmed = self.confirmed.max(Some(sent));
-        if matches!(outcome, CheckOutcome::CountDiffers { .. }) && !self.is_overfull {
+        if matches!(outcome, CheckOutcome::CountDiffers { .. }) && !self.exceeds_max_keys {
             self.relist(now, RelistReason::CountDiffers, actions);
         }
     }
