--- a/src/registry/connection/endpoints.rs
+++ b/src/registry/connection/endpoints.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct EndpointRotation {
     order: Vec<usize>,
-    turn: usize,
+    next_index: usize,
     failures: u32,
 }
 
@@ -32,7 +32,7 @@
     pub fn shuffled(endpoints: usize, rng: &mut Pcg32) -> Self {
         let mut order: Vec<usize> = (0..endpoints).collect();
         order.shuffle(rng);
-        EndpointRotation { order, turn: 0, failures: 0 }
+        EndpointRotation { order, next_index: 0, failures: 0 }
     }
 
     /// How many endpoints there are.
@@ -42,14 +42,14 @@
 
     /// The position in the order that is dialed next.
     #[cfg(test)]
-    pub fn turn(&self) -> usize {
-        self.turn % self.order.len()
+    pub fn next_index(&self) -> usize {
+        self.next_index % self.order.len()
     }
 
     /// The endpoint to dial now; `None`: there are no endpoints.
     pub fn next_endpoint(&mut self) -> Option<usize> {
-        let endpoint = *self.order.get(self.turn % self.order.len().max(1))?;
-        self.turn = self.turn.wrapping_add(1);
+        let endpoint = *self.order.get(self.next_index % self.order.len().max(1))?;
+        self.next_index = self.next_index.wrapping_add(1);
         Some(endpoint)
     }
 
