--- a/src/registry/connection/mod.rs
+++ b/src/registry/connection/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub enum ConnectionState<L, W> {
     /// There is no connection until the next dial.
-    Resting {
+    Backoff {
         /// When the next dial is due.
         until: Micros,
     },
@@ -65,7 +65,7 @@
     /// The connection in use or being dialed.
     pub fn connection(&self) -> Option<Connection> {
         match self {
-            ConnectionState::Resting { .. } => None,
+            ConnectionState::Backoff { .. } => None,
             ConnectionState::Dialing { connection, .. }
             | ConnectionState::Listing { connection, .. }
             | ConnectionState::Watching { connection, .. } => Some(*connection),
@@ -94,7 +94,7 @@
     /// When something is due without any input; a check is unanswered for `check_timeout` at most.
     pub fn due(&self, check_timeout: Micros) -> Micros {
         match self {
-            ConnectionState::Resting { until }
+            ConnectionState::Backoff { until }
             | ConnectionState::Dialing { until, .. }
             | ConnectionState::Listing { until, .. } => *until,
             ConnectionState::Watching { watch, .. } => watch.due(check_timeout),
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! ```text
 //!          rested              dialed               all pages
-//!  Resting ------> Dialing ------------> Listing ------------> Watching, calls are sent
+//!  Backoff ------> Dialing ------------> Listing ------------> Watching, calls are sent
 //!     ^               |                     |                     |
 //!     +---------------+---------------------+---------------------+ lost, timed out, inconsistent
 //! ```
@@ -82,7 +82,7 @@
         Documents {
             rotation: EndpointRotation::shuffled(settings.endpoints, &mut rng),
             rng,
-            state: State::Resting { until: now },
+            state: State::Backoff { until: now },
             position: Position::default(),
             mirror: Mirror::default(),
             confirmed: None,
@@ -152,7 +152,7 @@
     /// How far the connection is.
     pub fn phase(&self) -> FollowPhase {
         match &self.state {
-            State::Resting { .. } => FollowPhase::Disconnected,
+            State::Backoff { .. } => FollowPhase::Disconnected,
             State::Dialing { .. } => FollowPhase::Dialing,
             State::Listing { .. } => FollowPhase::Listing,
             State::Watching { watch, .. } if !watch.created => FollowPhase::Listing,
@@ -202,7 +202,7 @@
             return;
         }
         match &self.state {
-            State::Resting { .. } => self.dial(now, actions),
+            State::Backoff { .. } => self.dial(now, actions),
             State::Dialing { .. } => self.give_up(now, DocumentsError::Unreachable, actions),
             State::Watching { watch, .. } if watch.created && watch.check.is_none() => {
                 self.begin_check(now, actions);
@@ -326,7 +326,7 @@
 
     fn dial(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.rotation.next_endpoint() else {
-            self.state = State::Resting { until: Micros::MAX };
+            self.state = State::Backoff { until: Micros::MAX };
             return;
         };
         self.counters.dials += 1;
@@ -350,6 +350,6 @@
         // flooded.
         self.rotation.record_failure();
         actions.push(Action::Notify(Notice::Disconnected { endpoint, error }));
-        self.state = State::Resting { until: now.saturating_add(pause) };
+        self.state = State::Backoff { until: now.saturating_add(pause) };
     }
 }
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -6,9 +6,9 @@
 //!
 //! ```text
 //!         pause ends           connected            all pages              compacted, count differs,
-//!  Resting ------> Dialing ------------> Listing ------------> Watching -- event out of order --+
-//!     ^               |                     |  ^                  |                         |
-//!     |               |                     |  +------------------|-------------------------+
+//!  Backoff ------> Dialing ------------> Listing ------------> Watching -- event out of order -+
+//!     ^               |                     |  ^                  |                            |
+//!     |               |                     |  +------------------|----------------------------+
 //!     +---------------+---------------------+---------------------+ lost, timed out, rejected
 //! ```
 //!
@@ -104,7 +104,7 @@
             rotation: EndpointRotation::shuffled(endpoints, &mut rng),
             rng,
             dial_budget: DialBudget::full(now),
-            state: State::Resting { until: now },
+            state: State::Backoff { until: now },
             position: Position::default(),
             restore_detector: RestoreDetector::new(endpoints),
             table: EndpointTable::default(),
@@ -140,7 +140,7 @@
             let endpoints = self.settings.endpoints.len();
             self.rotation = EndpointRotation::shuffled(endpoints, &mut self.rng);
             self.restore_detector = RestoreDetector::new(endpoints);
-            self.state = State::Resting { until: now };
+            self.state = State::Backoff { until: now };
         }
     }
 
@@ -210,7 +210,7 @@
             return;
         }
         match &self.state {
-            State::Resting { .. } => self.dial(now, actions),
+            State::Backoff { .. } => self.dial(now, actions),
             State::Dialing { .. } => self.give_up(now, DisconnectReason::Unreachable, actions),
             State::Listing { list, .. } if list.is_being_applied() => self.apply_list(now, actions),
             State::Listing { .. } => self.give_up(now, DisconnectReason::TimedOut, actions),
@@ -265,11 +265,11 @@
         if !self.dial_budget.take(now, self.settings.longest_pause) {
             let pause = self.settings.longest_pause / 2;
             let until = now + pause / 2 + self.rng.random_range(0..=pause);
-            self.state = State::Resting { until };
+            self.state = State::Backoff { until };
             return;
         }
         let Some(endpoint) = self.rotation.next_endpoint() else {
-            self.state = State::Resting { until: Micros::MAX };
+            self.state = State::Backoff { until: Micros::MAX };
             return;
         };
         self.counters.dials += 1;
@@ -298,7 +298,7 @@
         };
         self.rotation.record_failure();
         actions.push(Action::Notify(Notice::Disconnected { endpoint, reason }));
-        self.state = State::Resting { until: now + pause };
+        self.state = State::Backoff { until: now + pause };
     }
 
     /// Counts and reports an entry whose record is unusable; does nothing for a usable one.
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -553,7 +553,7 @@
             .collect();
         deletions.sort();
         let state = match &session.state {
-            State::Resting { .. } => (0, 0, 0, 0, false),
+            State::Backoff { .. } => (0, 0, 0, 0, false),
             State::Dialing { connection, .. } => (1, connection.endpoint as u64, 0, 0, false),
             State::Listing { connection, list, .. } => {
                 let entries = list.entries.len() as u64;
@@ -739,7 +739,7 @@
         }
         match &state.session.state {
             State::Dialing { .. } => steps.extend([Step::Connect(false), Step::Connect(true)]),
-            State::Resting { .. } => steps.push(Step::Advance),
+            State::Backoff { .. } => steps.push(Step::Advance),
             State::Watching { watch, .. } if watch.check.is_none() && watch.created => {
                 steps.push(Step::Advance)
             }
