--- a/src/registry/answers.rs
+++ b/src/registry/answers.rs
@@ -1,6 +1,6 @@
-//! The registry's answers on keys of endpoints, checked and decoded: pages of a list and messages of a watch, as the
-//! session takes them. A message that violates the protocol is an error as a whole; a single record that can't be
-//! read is not.
+//! Decodes and checks the registry's responses about endpoint keys: pages of a list and messages of a watch, in the form
+//! that the session takes. A message that violates the protocol is rejected as a whole; a single unusable record is not
+//! an error of the message.
 
 use super::keys::id_of;
 use super::messages::{Event as WireEvent, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
@@ -9,108 +9,108 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// Characters of the registry's reason for ending a watch that are kept.
+/// Maximum number of characters of the registry's reason for cancelling a watch that are kept.
 const MAX_REASON_CHARS: usize = 200;
-/// Event types of the interface.
+/// Event types of the etcd v3 interface.
 const EVENT_PUT: i32 = 0;
 const EVENT_DELETE: i32 = 1;
 
 /// How a message violates the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It can't be decoded.
+    /// The message can't be decoded.
     #[error("{0}")]
     Undecodable(#[from] prost::DecodeError),
-    /// It has no header.
-    #[error("an answer without a head")]
+    /// A response has no header.
+    #[error("a response has no header")]
     MissingHeader,
-    /// It has no revision.
-    #[error("an answer without revision")]
+    /// A response has no revision.
+    #[error("a response has no revision")]
     MissingRevision,
     /// A revision is negative.
     #[error("revision {0} is negative")]
     NegativeRevision(i64),
     /// A count is negative.
-    #[error("a negative count")]
+    #[error("a count of keys is negative")]
     NegativeCount,
     /// A key's revisions contradict each other.
-    #[error("a key made at {created} and changed at {modified}")]
+    #[error("a key has contradictory revisions: created at {created}, last changed at {modified}")]
     ContradictoryRevisions {
-        /// Its create revision.
+        /// Create revision of the key.
         created: u64,
-        /// Its mod revision.
+        /// Mod revision of the key.
         modified: u64,
     },
     /// A key's revisions contradict each other or the header.
-    #[error("a key's revision that can't be")]
+    #[error("a key has an impossible revision")]
     ImpossibleRevision,
-    /// Keys are out of order.
-    #[error("keys out of order, or not those asked for")]
+    /// Keys are out of order or outside the requested range.
+    #[error("keys are out of order or outside the requested range")]
     UnexpectedKeys,
     /// A key is not below the prefix.
-    #[error("a key that was not asked for")]
+    #[error("a key is outside the requested prefix")]
     ForeignKey,
-    /// A page announces more keys but has none.
-    #[error("more, but no keys")]
+    /// A page announces further keys but contains none.
+    #[error("a page announces further keys but contains none")]
     EmptyPage,
-    /// A page is of an older revision than the first one.
-    #[error("a page older than its list")]
+    /// A page is of an older revision than the first page, or of another cluster.
+    #[error("a page is older than its list or from another cluster")]
     PageOlderThanList,
     /// A key was changed after the revision of the list.
-    #[error("a key newer than its list")]
+    #[error("a key is newer than its list")]
     KeyNewerThanList,
     /// An event has no key.
-    #[error("a change of no key")]
+    #[error("a watch event has no key")]
     EventWithoutKey,
     /// An event is neither a put nor a delete.
-    #[error("a change of unknown kind {0}")]
+    #[error("a watch event has the unknown type {0}")]
     UnknownEventType(i32),
     /// An event is newer than the header of its message.
-    #[error("a change newer than its answer")]
+    #[error("a watch event is newer than the header of its message")]
     EventNewerThanHeader,
-    /// A watch tells of another cluster.
-    #[error("another cluster on an open watch")]
+    /// A message of an open watch is from another cluster.
+    #[error("a message of an open watch is from another cluster")]
     OtherClusterOnWatch,
 }
 
-/// The cluster that answered, and its revision.
+/// The cluster that responded, and its revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Header {
-    /// The cluster.
+    /// Id of the cluster.
     pub cluster: u64,
-    /// The revision.
+    /// Revision of the store at the time of the response.
     pub revision: u64,
 }
 
-/// One key as the registry has it.
+/// The state of one key in the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyEntry {
-    /// The id that its key names; `None`: the key names no id, so it belongs to no endpoint.
+    /// Id of the endpoint; `None` if the key contains no valid id and thus belongs to no endpoint.
     pub id: Option<Id>,
-    /// The key as it is.
+    /// The key, including the prefix.
     pub key: Arc<[u8]>,
-    /// The revision at which it was created; it identifies the endpoint's process.
+    /// Revision at which the key was created. It identifies the endpoint's process.
     pub create_revision: u64,
-    /// The revision of its last change.
+    /// Revision of the last change of the key.
     pub mod_revision: u64,
-    /// Its record.
+    /// The decoded record, or why the record is unusable.
     pub endpoint: Result<Arc<EndpointRecord>, RecordError>,
 }
 
 /// One page of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
-    /// The cluster and the revision.
+    /// Cluster and revision of the response.
     pub header: Header,
-    /// The keys, in order.
+    /// The keys, in ascending order.
     pub entries: Vec<KeyEntry>,
-    /// There are further keys behind the last.
+    /// Whether the range has further keys after the last one.
     pub more: bool,
-    /// Keys in the whole range.
+    /// Number of keys in the whole range.
     pub count: u64,
 }
 
-/// One change.
+/// One change of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A key was written.
@@ -125,7 +125,7 @@
 }
 
 impl Event {
-    /// The revision of the change.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             Event::Put(entry) => entry.mod_revision,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The key that was changed.
+    /// Returns the key that was changed.
     pub fn key(&self) -> &Arc<[u8]> {
         match self {
             Event::Put(entry) => &entry.key,
@@ -145,40 +145,41 @@
 /// A message of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchMessage {
-    /// The cluster and the revision.
+    /// Cluster and revision of the response.
     pub header: Header,
-    /// The watch; -1: all watches of the stream.
+    /// Id of the watch; -1 for all watches of the stream.
     pub watch: i64,
-    /// The watch was created.
+    /// Whether the registry has created the watch.
     pub created: bool,
-    /// The watch was cancelled.
+    /// Whether the registry has cancelled the watch.
     pub cancelled: bool,
-    /// It was cancelled because history before this revision is compacted; 0: for another reason.
+    /// If the watch was cancelled because its revision is compacted, the oldest available revision; 0 otherwise.
     pub compact_revision: u64,
-    /// Why it was cancelled.
+    /// Why the watch was cancelled.
     pub cancel_reason: String,
-    /// Further fragments of the same message follow.
+    /// Whether further fragments of the same message follow.
     pub fragment: bool,
-    /// The changes.
+    /// The changes, in order.
     pub events: Vec<Event>,
 }
 
-/// Reads keys below a prefix.
+/// Decodes responses about the keys below a prefix.
 #[derive(Clone, Debug)]
 pub struct Reader {
-    /// What every key begins with.
+    /// Prefix of all keys.
     pub prefix: String,
     /// Names of kinds and zones.
     pub names: Names,
-    /// Most bytes of a record.
+    /// Maximum size of a record, in bytes.
     pub max_value_bytes: usize,
 }
 
 impl Reader {
-    /// Decodes a page; `from` is the first key that was asked for.
+    /// Decodes a page; `from` is the first requested key.
     ///
     /// # Errors
-    /// The bytes are no answer, or keys are out of order or outside the range.
+    /// The bytes are not a range response, keys are out of order or outside the range, or revisions contradict each
+    /// other.
     pub fn decode_page(&self, bytes: impl bytes::Buf, from: &[u8]) -> Result<Page, MessageError> {
         self.page(&RangeResponse::decode(bytes)?, from)
     }
@@ -186,41 +187,42 @@
     /// Decodes a message of a watch.
     ///
     /// # Errors
-    /// The bytes are no such message, or a change in it can't be.
+    /// The bytes are not a watch response, or the response or one of its events is invalid.
     pub fn decode_watch_message(&self, bytes: impl bytes::Buf) -> Result<WatchMessage, MessageError> {
         self.watch_message(&WatchResponse::decode(bytes)?)
     }
 
-    /// Reads a page; `from` is the first key that was asked for.
+    /// Checks and converts a range response; `from` is the first requested key.
     ///
     /// # Errors
     /// Keys are out of order or outside the range, or revisions contradict each other.
-    pub fn page(&self, answer: &RangeResponse, from: &[u8]) -> Result<Page, MessageError> {
-        let entries = answer.kvs.iter().map(|kv| self.entry(kv)).collect::<Result<Vec<_>, _>>()?;
+    pub fn page(&self, response: &RangeResponse, from: &[u8]) -> Result<Page, MessageError> {
+        let entries = response.kvs.iter().map(|kv| self.entry(kv)).collect::<Result<Vec<_>, _>>()?;
         let ordered = entries.windows(2).all(|pair| pair[0].key < pair[1].key);
         let inside =
             entries.iter().all(|entry| &*entry.key >= from && entry.key.starts_with(self.prefix.as_bytes()));
         if !ordered || !inside {
             return Err(MessageError::UnexpectedKeys);
         }
-        let count = u64::try_from(answer.count).map_err(|_| MessageError::NegativeCount)?;
-        Ok(Page { header: header(&answer.header)?, entries, more: answer.more, count })
+        let count = u64::try_from(response.count).map_err(|_| MessageError::NegativeCount)?;
+        Ok(Page { header: header(&response.header)?, entries, more: response.more, count })
     }
 
-    /// Reads a message of a watch.
+    /// Checks and converts a watch response.
     ///
     /// # Errors
-    /// It has no header, or a change in it is none of a key below the prefix.
-    pub fn watch_message(&self, answer: &WatchResponse) -> Result<WatchMessage, MessageError> {
-        let events = answer.events.iter().map(|event| self.event(event)).collect::<Result<Vec<_>, _>>()?;
+    /// The response has no header, an event is not for a key below the prefix or has an unknown type, or revisions are
+    /// invalid.
+    pub fn watch_message(&self, response: &WatchResponse) -> Result<WatchMessage, MessageError> {
+        let events = response.events.iter().map(|event| self.event(event)).collect::<Result<Vec<_>, _>>()?;
         Ok(WatchMessage {
-            header: header(&answer.header)?,
-            watch: answer.watch_id,
-            created: answer.created,
-            cancelled: answer.canceled,
-            compact_revision: revision(answer.compact_revision)?,
-            cancel_reason: answer.cancel_reason.chars().take(MAX_REASON_CHARS).collect(),
-            fragment: answer.fragment,
+            header: header(&response.header)?,
+            watch: response.watch_id,
+            created: response.created,
+            cancelled: response.canceled,
+            compact_revision: revision(response.compact_revision)?,
+            cancel_reason: response.cancel_reason.chars().take(MAX_REASON_CHARS).collect(),
+            fragment: response.fragment,
             events,
         })
     }
--- a/src/registry/connection/endpoints.rs
+++ b/src/registry/connection/endpoints.rs
@@ -5,56 +5,59 @@
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-/// Least pause after a failure once every endpoint has been tried.
+/// Minimum of the upper bound from which a pause is drawn once every endpoint has failed, in microseconds.
 const MIN_PAUSE: Micros = 50_000;
-/// Doublings of the pause after which it does not grow further.
+/// Maximum number of times the pause is doubled.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Bounds of the pauses between dials, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPauses {
-    /// First retries of all instances that lost the registry at once are spread over this.
+    /// Time over which the first retries are spread when all instances have lost the registry at once.
     pub spread: Micros,
-    /// The longest pause.
+    /// Longest pause between dials.
     pub longest: Micros,
 }
 
-/// The endpoints in an order of this follower's own, and the failures in a row.
+/// The endpoints in a random order of this follower, and the number of consecutive failures.
 #[derive(Clone, Debug)]
 pub struct EndpointRotation {
     order: Vec<usize>,
+    /// Number of endpoints returned so far; modulo the length of `order`, the index of the next one.
     next_index: usize,
+    /// Number of consecutive failures.
     failures: u32,
 }
 
 impl EndpointRotation {
-    /// All of `endpoints` endpoints in random order.
+    /// Creates a rotation over the endpoints `0..endpoints` in random order.
     pub fn shuffled(endpoints: usize, rng: &mut Pcg32) -> Self {
         let mut order: Vec<usize> = (0..endpoints).collect();
         order.shuffle(rng);
         EndpointRotation { order, next_index: 0, failures: 0 }
     }
 
-    /// How many endpoints there are.
+    /// Returns the number of endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.order.len()
     }
 
-    /// The position in the order that is dialed next.
+    /// Returns the index in the order of the endpoint that is dialed next.
     #[cfg(test)]
     pub fn next_index(&self) -> usize {
         self.next_index % self.order.len()
     }
 
-    /// The endpoint to dial now; `None`: there are no endpoints.
+    /// Returns the next endpoint to dial and advances the rotation; `None` if there are no endpoints.
     pub fn next_endpoint(&mut self) -> Option<usize> {
         let endpoint = *self.order.get(self.next_index % self.order.len().max(1))?;
         self.next_index = self.next_index.wrapping_add(1);
         Some(endpoint)
     }
 
-    /// The pause before the next dial. Each endpoint is tried after a pause within `first_spread` before pauses grow,
-    /// because all instances may have lost the registry at the same moment.
+    /// Returns the pause before the next dial. Until each endpoint has failed once, pauses are random within
+    /// `first_spread`, because all instances may have lost the registry at the same time. After that, they grow
+    /// exponentially up to `pauses.longest`.
     pub fn backoff(&self, first_spread: Micros, pauses: RetryPauses, rng: &mut Pcg32) -> Micros {
         let rounds = self.failures / self.order.len().max(1) as u32;
         if rounds == 0 {
@@ -66,12 +69,12 @@
         rng.random_range(pause / 4..=pause)
     }
 
-    /// Counts a failure.
+    /// Counts a failed dial or a lost connection.
     pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Ends a row of failures.
+    /// Resets the number of consecutive failures.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/src/registry/connection/mod.rs
+++ b/src/registry/connection/mod.rs
@@ -1,7 +1,7 @@
-//! What every follower of the registry decides about its one connection: which endpoint is next and when
-//! ([`endpoints`]), in which phase the connection is, whether an answer is current ([`position`]), and whether the
-//! watch is complete ([`consistency`]). The session with the list of endpoints and the mirror of documents are built
-//! on it; it has no clock and no sockets.
+//! The connection logic that all followers of the registry share: which endpoint to dial next and when
+//! ([`endpoints`]), the phase of the connection, whether a response is current ([`position`]), and whether the watch
+//! has missed changes ([`consistency`]). The session with the list of endpoints and the mirror of documents build on
+//! this module, which uses no clock and no sockets.
 
 pub mod consistency;
 pub mod endpoints;
@@ -13,32 +13,32 @@
 /// A connection to an endpoint of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connection {
-    /// Identifies the connection among all of one follower's.
+    /// Id of the connection, unique within one follower.
     pub id: u64,
-    /// The endpoint's index in the settings.
+    /// Index of the endpoint in the settings.
     pub endpoint: usize,
 }
 
-/// How far a connection had come when it was lost.
+/// The phase in which a connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostPhase {
-    /// It was being dialed.
+    /// The connection was being dialed.
     Dialing,
-    /// It was open.
+    /// The connection was open.
     Open,
 }
 
-/// The phase of the connection; `L` is a list in progress, `W` a watch.
+/// The phase of the connection. `L` is the type of a list in progress, `W` that of a watch.
 #[derive(Clone, Debug)]
 pub enum ConnectionState<L, W> {
-    /// There is no connection until the next dial.
+    /// There is no connection; the next dial is pending.
     Backoff {
         /// When the next dial is due.
         until: Micros,
     },
     /// An endpoint is being dialed.
     Dialing {
-        /// The connection to be.
+        /// The connection that is being dialed.
         connection: Connection,
         /// When the dial times out.
         until: Micros,
@@ -47,12 +47,12 @@
     Listing {
         /// The connection in use.
         connection: Connection,
-        /// When the answer to the page times out, or the next part of the list is applied.
+        /// When the call for the page times out, or when the next batch of the list is applied.
         until: Micros,
-        /// The list.
+        /// The list in progress.
         list: Box<L>,
     },
-    /// A watch follows the list.
+    /// A complete list was applied, and a watch follows its changes.
     Watching {
         /// The connection in use.
         connection: Connection,
@@ -62,7 +62,7 @@
 }
 
 impl<L, W> ConnectionState<L, W> {
-    /// The connection in use or being dialed.
+    /// Returns the connection that is open or being dialed, if any.
     pub fn connection(&self) -> Option<Connection> {
         match self {
             ConnectionState::Backoff { .. } => None,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The connection that is being dialed, if it is the one with this id.
+    /// Returns the connection that is being dialed if it has this id.
     pub fn dialing(&self, id: u64) -> Option<Connection> {
         match self {
             ConnectionState::Dialing { connection, .. } if connection.id == id => Some(*connection),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// In which phase the connection with this id is; `None`: it is not in use.
+    /// Returns the phase of the connection with this id; `None` if that connection is neither open nor being dialed.
     pub fn lost_phase(&self, id: u64) -> Option<LostPhase> {
         self.connection().filter(|connection| connection.id == id)?;
         match self {
@@ -91,7 +91,7 @@
 }
 
 impl<L, E, R, X> ConnectionState<L, WatchState<E, R, X>> {
-    /// When something is due without any input; a check is unanswered for `check_timeout` at most.
+    /// Returns when the next action is due without further input. A consistency check times out after `check_timeout`.
     pub fn due(&self, check_timeout: Micros) -> Micros {
         match self {
             ConnectionState::Backoff { until }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether a whole list was taken and a watch follows it.
+    /// Returns whether the registry has confirmed the watch that follows a complete list.
     pub fn is_watching(&self) -> bool {
         matches!(self, ConnectionState::Watching { watch, .. } if watch.created)
     }
--- a/src/registry/mod.rs
+++ b/src/registry/mod.rs
@@ -1,9 +1,10 @@
-//! A client of a key-value registry (the published etcd v3 interface).
+//! A client of a key-value registry with the published etcd v3 interface.
 //!
-//! [`session`] follows the list of endpoints: [`answers`] checks what the registry sends, [`record`] reads the
-//! endpoints' records, [`snapshot`] keeps the list on disk, and [`driver`] joins them to the event loop. [`documents`]
-//! keeps what the fleet must agree on durably, and [`lease`] makes one instance at a time its planner. Both follow the
-//! registry over one connection as [`connection`] describes, with the messages of [`messages`] over [`grpc`].
+//! [`session`] follows the list of endpoints: [`answers`] checks and decodes the registry's responses, [`record`] decodes
+//! the records of endpoints, [`snapshot`] stores the list on disk, and [`driver`] connects these modules to the event
+//! loop. [`documents`] stores the state that the fleet must agree on durably, and [`lease`] elects one instance at a
+//! time as the planner. The session and the documents each follow the registry over one connection with the logic of
+//! [`connection`], and exchange the messages of [`messages`] over [`grpc`].
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 pub mod answers;
--- a/src/registry/record.rs
+++ b/src/registry/record.rs
@@ -1,39 +1,39 @@
-//! The records of endpoints: the JSON value that the registry stores, and what it says with the names of the settings
-//! resolved. Reading is total on any input; what can't be read is an error with its reason.
+//! The records of endpoints: the JSON value that the registry stores, and the decoded form, in which the names of kinds
+//! and zones are resolved by the settings. Decoding accepts any input and reports why a value is unusable.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The state that a record gives an endpoint.
+/// The state of an endpoint, as set by the operators in its record.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     #[default]
     Ready,
-    /// It takes no new requests and finishes those that it has.
+    /// The endpoint accepts no new requests and finishes those in flight.
     Draining,
 }
 
-/// The value of an endpoint's key, a JSON object. Fields that are not known are left for later versions.
+/// The value of an endpoint's key, a JSON object. Unknown fields are ignored, so that later versions can add fields.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct StoredRecord {
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its kind, by name as in the settings.
+    /// Name of the endpoint's kind in the settings.
     pub kind: String,
-    /// Its zone, by name as in the settings.
+    /// Name of the endpoint's zone in the settings.
     pub zone: String,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     #[serde(default)]
     pub state: State,
-    /// Its cell.
+    /// Cell of the endpoint.
     #[serde(default)]
     pub cell: u32,
-    /// Its weight.
+    /// Weight of the endpoint.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Unix millisecond of its start; 0: not recorded.
+    /// Start time of the endpoint in Unix milliseconds; 0 if not recorded.
     #[serde(default)]
     pub started_ms: u64,
 }
@@ -42,74 +42,76 @@
     1.0
 }
 
-/// Why a record can't be used.
+/// Why a record is unusable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It is longer than the settings allow.
-    #[error("has {bytes} bytes, {max_bytes} may be: shorten the record or raise most_value_bytes")]
+    /// The record is longer than the settings allow.
+    #[error(
+        "the record has {bytes} bytes, at most {max_bytes} are allowed: shorten it or raise most_value_bytes"
+    )]
     TooLong {
-        /// Its length.
+        /// Length of the record, in bytes.
         bytes: usize,
-        /// The longest that is taken.
+        /// Maximum length, in bytes.
         max_bytes: usize,
     },
-    /// It is no JSON object of the expected form.
-    #[error("{0}: write the record anew")]
+    /// The value is not a JSON object of the expected form.
+    #[error("{0}: rewrite the record")]
     Malformed(String),
-    /// It names a kind or a zone that the settings lack.
-    #[error("{what} '{name}' is none of the settings' ({known}): correct the record or the settings")]
+    /// The record names a kind or a zone that the settings lack.
+    #[error("{field} '{name}' is not in the settings ({known}): correct the record or the settings")]
     UnknownName {
         /// `kind` or `zone`.
-        what: &'static str,
-        /// The name.
+        field: &'static str,
+        /// The unknown name.
         name: String,
-        /// The names of the settings.
+        /// The names in the settings, separated by commas.
         known: String,
     },
-    /// Its weight is negative or no number.
-    #[error("weight {0} makes no sense: write a number from 0 on")]
+    /// The weight is negative or not finite.
+    #[error("weight {0} is invalid: write a number of at least 0")]
     InvalidWeight(String),
-    /// Its key names no id.
-    #[error("the key names no usable id: 1 to 64 letters, digits and . _ : - behind the prefix")]
+    /// The key contains no valid id.
+    #[error("the key has no valid id: after the prefix, 1 to 64 letters, digits and . _ : - are allowed")]
     InvalidId,
-    /// The registry could not send it within one message.
-    #[error("does not fit into an answer: shorten the record or raise most_message_bytes")]
+    /// The record does not fit into one message of the registry.
+    #[error("the record does not fit into one message: shorten it or raise most_message_bytes")]
     ExceedsMessage,
 }
 
-/// Names of kinds and zones, whose indexes are their numbers.
+/// The names of kinds and zones in the settings. The number of a kind or zone is the index of its name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Kinds.
+    /// Names of the kinds.
     pub kinds: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
-/// A record with its names resolved.
+/// A record whose names of kind and zone are resolved.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: State,
-    /// Its kind's number.
+    /// Number of the endpoint's kind.
     pub kind: u32,
-    /// Its zone's number.
+    /// Number of the endpoint's zone.
     pub zone: usize,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u32,
-    /// Its weight.
+    /// Weight of the endpoint.
     pub weight: f64,
-    /// Unix millisecond of its start; 0: not recorded.
+    /// Start time of the endpoint in Unix milliseconds; 0 if not recorded.
     pub started_ms: u64,
 }
 
 impl Names {
-    /// Reads a value of at most `max_bytes`.
+    /// Decodes a value of at most `max_bytes` bytes.
     ///
     /// # Errors
-    /// The value is too long, no record, or names what the settings lack.
+    /// The value is too long, is not a record, has an invalid weight, or names a kind or zone that the settings lack.
     pub fn read(&self, value: &[u8], max_bytes: usize) -> Result<EndpointRecord, RecordError> {
         if value.len() > max_bytes {
             return Err(RecordError::TooLong { bytes: value.len(), max_bytes });
@@ -130,7 +132,7 @@
         })
     }
 
-    /// The stored form of a record; `None`: its kind or zone has no name here.
+    /// Returns the stored form of a record; `None` if the settings have no name for its kind or zone.
     pub fn stored(&self, endpoint: &EndpointRecord) -> Option<StoredRecord> {
         Some(StoredRecord {
             address: endpoint.address,
@@ -144,9 +146,9 @@
     }
 }
 
-fn index_of(what: &'static str, names: &[String], name: &str) -> Result<usize, RecordError> {
+fn index_of(field: &'static str, names: &[String], name: &str) -> Result<usize, RecordError> {
     names.iter().position(|known| known == name).ok_or_else(|| RecordError::UnknownName {
-        what,
+        field,
         name: name.to_owned(),
         known: names.join(", "),
     })
--- a/src/registry/snapshot.rs
+++ b/src/registry/snapshot.rs
@@ -1,8 +1,9 @@
-//! The list on disk: written beside the old one, synced and renamed, so that there is always a complete one. A file
-//! that is truncated, damaged, another program's, another prefix's or of a newer version is refused with its reason.
+//! The snapshot of the list of endpoints on disk. A new snapshot is written to a temporary file, synced and renamed, so
+//! that a complete snapshot exists at any time. A file that is truncated, corrupt, of another program, for another
+//! prefix or of a newer version is rejected with the reason.
 //!
 //! ```text
-//! "larchlst"  version:4  length:8  crc32:4  body, a protobuf message        (numbers are big-endian)
+//! "larchlst"  version:4  length:8  crc32:4  body: a protobuf message        (lengths in bytes, numbers big-endian)
 //! ```
 
 use super::answers::{KeyEntry, Reader};
@@ -15,97 +16,102 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 
+/// First bytes of every snapshot file.
 const MAGIC: &[u8; 8] = b"larchlst";
+/// Version of the file format.
 const VERSION: u32 = 1;
 const HEADER_BYTES: usize = 24;
-/// Largest file that is read.
+/// Maximum size of a file that is loaded.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// Name of the file, and of the one that is being written.
+/// Name of the snapshot file.
 const FILE_NAME: &str = "depots.list";
+/// Name of the temporary file that a new snapshot is written to.
 const NEW_FILE_NAME: &str = "depots.list.new";
 
-/// Why no list could be loaded.
+/// Why no snapshot could be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// There is no file, or it can't be read.
+    /// The file does not exist or can't be read.
     #[error("can't read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The file can't be used.
-    #[error("{path} can't be used: {source}")]
+    /// The contents of the file are unusable.
+    #[error("can't use {path}: {source}")]
     Unusable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: FormatError,
     },
 }
 
-/// Why the bytes of a file are no list that can be used. The remedy is the same for all: nothing has to be done, the
-/// list comes from the registry, and the file is replaced then.
+/// Why the contents of a file are not a usable snapshot. No error requires an action of the operator: the list is read
+/// from the registry, and the file is then replaced.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
-    /// It is shorter than its header.
-    #[error("it is cut short")]
+    /// The file is shorter than its header.
+    #[error("the file is truncated")]
     Truncated,
-    /// It is longer than any list.
-    #[error("it has more than {MAX_FILE_BYTES} bytes")]
+    /// The file exceeds the maximum size.
+    #[error("the file has more than {MAX_FILE_BYTES} bytes")]
     TooLarge,
-    /// It does not begin as a list does.
-    #[error("it is no list of endpoints")]
+    /// The file does not begin with the magic bytes.
+    #[error("the file is not a snapshot of a list of endpoints")]
     OtherFormat,
-    /// It is of a newer version.
-    #[error("it is of version {0}, this program knows {VERSION}")]
+    /// The format version is newer than the supported one.
+    #[error("the file has format version {0}, this program supports version {VERSION}")]
     NewerVersion(u64),
-    /// It is of a version that was never written.
-    #[error("it is of version {0}, which nobody ever wrote")]
+    /// The format version never existed.
+    #[error("the file has format version {0}, which never existed")]
     UnknownVersion(u64),
-    /// Its body has another length than its header says.
-    #[error("it has {actual} bytes of {announced}: it is torn")]
+    /// The body has another length than the header announces.
+    #[error(
+        "the file is incomplete or damaged: the body has {actual} bytes, the header announces {announced}"
+    )]
     WrongLength {
-        /// The length of the body.
+        /// Length of the body, in bytes.
         actual: usize,
-        /// The length that the header says.
+        /// Length in the header, in bytes.
         announced: u64,
     },
-    /// Its checksum is wrong.
-    #[error("its checksum is wrong")]
+    /// The checksum of the body differs from the one in the header.
+    #[error("the checksum of the file is wrong")]
     WrongChecksum,
-    /// Its body can't be decoded.
+    /// The body can't be decoded.
     #[error("{0}")]
     Undecodable(#[from] prost::DecodeError),
-    /// It is of another prefix.
-    #[error("it is of the prefix '{0}'")]
+    /// The list is for another prefix.
+    #[error("the list in the file is for the prefix '{0}'")]
     OtherPrefix(String),
-    /// It has more keys than the settings allow.
-    #[error("it has {keys} keys, {max_keys} may be")]
+    /// The list has more keys than the settings allow.
+    #[error("the list in the file has {keys} keys, at most {max_keys} are allowed")]
     TooManyKeys {
-        /// How many it has.
+        /// Number of keys in the list.
         keys: usize,
-        /// How many are allowed.
+        /// Maximum number of keys.
         max_keys: usize,
     },
 }
 
-/// Why a list was not handed over to be written.
+/// Why a list was not passed to the writer thread.
 #[derive(Debug, thiserror::Error)]
 pub enum SaveError {
-    /// The previous list could not be written.
+    /// A previous list could not be written.
     #[error("{0}")]
     Write(#[from] io::Error),
-    /// A list still waits to be written.
-    #[error("the disk is slow, one still waits")]
+    /// A previous list is still waiting to be written.
+    #[error("the disk is slow: a previous snapshot is still waiting to be written")]
     Busy,
-    /// The thread that writes has ended.
-    #[error("its thread has ended")]
+    /// The writer thread has ended.
+    #[error("the snapshot writer thread has ended")]
     ThreadEnded,
 }
 
-/// The body of the file.
+/// The body of a snapshot file.
 #[derive(Clone, PartialEq, prost::Message)]
 struct Body {
     #[prost(uint64, tag = "1")]
@@ -118,7 +124,7 @@
     keys: Vec<KeyValue>,
 }
 
-/// The bytes of a file. Keys whose records could not be read are left out.
+/// Encodes a list as the contents of a snapshot file. Keys with unusable records are omitted.
 pub fn encode(list: &SavedList, reader: &Reader) -> Vec<u8> {
     let body = Body {
         cluster: list.cluster,
@@ -147,10 +153,10 @@
     })
 }
 
-/// Reads the bytes of a file. Keys whose records can't be read by these settings are left out.
+/// Decodes the contents of a snapshot file. Keys whose records are unusable under the current settings are omitted.
 ///
 /// # Errors
-/// The bytes are no list of this prefix with at most `max_keys` keys.
+/// The bytes are not a list for this prefix with at most `max_keys` keys.
 pub fn decode(bytes: &[u8], reader: &Reader, max_keys: usize) -> Result<SavedList, FormatError> {
     let body = Body::decode(checked_body(bytes)?)?;
     if body.prefix != reader.prefix {
@@ -163,7 +169,7 @@
     Ok(SavedList { cluster: body.cluster, revision: body.revision, entries })
 }
 
-/// The bytes behind the header, if the header fits them.
+/// Returns the body after the header, checked against the header's length and checksum.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], FormatError> {
     let Some((header, body)) = bytes.split_at_checked(HEADER_BYTES) else {
         return Err(FormatError::Truncated);
@@ -202,10 +208,10 @@
     })
 }
 
-/// Reads the list of a folder.
+/// Loads the snapshot in a folder.
 ///
 /// # Errors
-/// There is no file, or none that can be used.
+/// The file can't be read, or its contents are unusable.
 pub fn load(folder: &Path, reader: &Reader, max_keys: usize) -> Result<SavedList, SnapshotError> {
     let path = folder.join(FILE_NAME);
     let bytes = match read_bounded(&path) {
@@ -220,14 +226,15 @@
     list.map_err(|source| SnapshotError::Unusable { path, source })
 }
 
-/// Reads a file, of one that is too large a byte more than is taken.
+/// Reads a file up to one byte more than the maximum size, so that the caller can detect a file that is too large.
 fn read_bounded(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Writes a list so that the folder has the old or the new one, complete, at any moment.
+/// Writes a snapshot to a folder atomically: after a crash, the folder contains either the complete old snapshot or the
+/// complete new one.
 ///
 /// # Errors
 /// The file could not be written, synced or renamed.
@@ -238,41 +245,41 @@
     file.sync_all()?;
     drop(file);
     fs::rename(&new, folder.join(FILE_NAME))?;
-    // The rename itself must survive a loss of power.
+    // Syncs the folder, so that the rename survives a power failure.
     File::open(folder)?.sync_all()
 }
 
-/// Writes lists on a thread of its own: a disk may be slow, and the event loop must not wait for it.
+/// Writes snapshots on a separate thread, so that a slow disk does not block the event loop.
 pub struct Saver {
     lists: SyncSender<SavedList>,
     errors: Receiver<io::Error>,
 }
 
 impl Saver {
-    /// A saver for a folder, which is created if it is not there.
+    /// Starts the writer thread for a folder, and creates the folder if it does not exist.
     ///
     /// # Errors
     /// The folder or the thread could not be created.
     pub fn start(folder: PathBuf, reader: Reader) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
-        // One list waits at most: while the disk is slow the caller keeps newer ones back.
+        // At most one list waits: while the disk is slow, the caller has to retry with a newer list later.
         let (lists, received) = sync_channel::<SavedList>(1);
-        let (failed, errors) = sync_channel(1);
+        let (error_sender, errors) = sync_channel(1);
         std::thread::Builder::new().name("snapshot".to_owned()).spawn(move || {
             for list in received {
                 if let Err(error) = store(&folder, &encode(&list, &reader)) {
-                    // An earlier error that was not read yet says the same.
-                    let _ = failed.try_send(error);
+                    // The channel is full only if an earlier error was not read yet; one report is enough.
+                    let _ = error_sender.try_send(error);
                 }
             }
         })?;
         Ok(Saver { lists, errors })
     }
 
-    /// Hands a list over to be written.
+    /// Passes a list to the writer thread.
     ///
     /// # Errors
-    /// The previous list could not be written, or waits still.
+    /// A previous list could not be written or is still waiting, or the thread has ended.
     pub fn save(&mut self, list: SavedList) -> Result<(), SaveError> {
         if let Ok(error) = self.errors.try_recv() {
             return Err(SaveError::Write(error));
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -1,4 +1,4 @@
-//! The codecs of the registry: records, answers and the file on disk, under noise and damage.
+//! The decoders of records, responses and snapshot files, with valid, random and damaged input.
 
 use super::answers::{Event, Reader};
 use super::keys::{id_of, range_end};
@@ -10,10 +10,10 @@
 use proptest::prelude::*;
 use prost::Message;
 
-const GOOD: &str =
+const VALID_RECORD: &str =
     r#"{"address": "127.0.0.1:9", "kind": "box", "zone": "a", "state": "draining", "later": [1]}"#;
 
-fn reader() -> Reader {
+fn test_reader() -> Reader {
     let names = Names { kinds: vec!["hub".into(), "box".into()], zones: vec!["a".into()] };
     Reader { prefix: "/d/".to_owned(), names, max_value_bytes: 200 }
 }
@@ -29,26 +29,26 @@
 }
 
 #[test]
-fn a_record_is_read_and_what_is_wrong_with_one_is_said() {
-    let names = reader().names;
-    let endpoint = names.read(GOOD.as_bytes(), 200).unwrap();
+fn a_valid_record_is_decoded_and_an_invalid_one_is_rejected_with_the_reason() {
+    let names = test_reader().names;
+    let endpoint = names.read(VALID_RECORD.as_bytes(), 200).unwrap();
     assert_eq!((endpoint.kind, endpoint.zone, endpoint.state, endpoint.weight), (1, 0, State::Draining, 1.0));
-    for (bad, why) in [
-        (GOOD.replace("\"box\"", "\"barrel\""), "kind 'barrel' is none of the settings' (hub, box)"),
-        (GOOD.replace("\"a\"", "\"b\""), "zone 'b' is none"),
-        (GOOD.replace("127.0.0.1:9", "somewhere"), "address"),
-        (GOOD.replace("draining", "tired"), "unknown variant `tired`"),
-        (GOOD.replace("\"later\"", "\"weight\": -1, \"later\""), "weight -1 makes no sense"),
-        (format!("{GOOD}{}", " ".repeat(200)), "has 289 bytes, 200 may be"),
+    for (invalid, reason) in [
+        (VALID_RECORD.replace("\"box\"", "\"barrel\""), "kind 'barrel' is not in the settings (hub, box)"),
+        (VALID_RECORD.replace("\"a\"", "\"b\""), "zone 'b' is not in"),
+        (VALID_RECORD.replace("127.0.0.1:9", "somewhere"), "address"),
+        (VALID_RECORD.replace("draining", "tired"), "unknown variant `tired`"),
+        (VALID_RECORD.replace("\"later\"", "\"weight\": -1, \"later\""), "weight -1 is invalid"),
+        (format!("{VALID_RECORD}{}", " ".repeat(200)), "has 289 bytes, at most 200 are allowed"),
         (String::new(), "EOF"),
     ] {
-        let said = names.read(bad.as_bytes(), 200).unwrap_err().to_string();
-        assert!(said.contains(why), "{bad}: {said}");
+        let message = names.read(invalid.as_bytes(), 200).unwrap_err().to_string();
+        assert!(message.contains(reason), "{invalid}: {message}");
     }
 }
 
 #[test]
-fn ids_are_plain_and_ranges_end_behind_the_last_key_of_a_prefix() {
+fn only_plain_ids_are_accepted_and_a_range_ends_after_the_last_key_of_its_prefix() {
     assert_eq!(id_of(b"/d/box-1", "/d/").as_deref(), Some("box-1"));
     for key in [&b"/d/"[..], b"/d/a,b", b"/d/a/b", b"/e/a", b"/d/\xff"] {
         assert_eq!(id_of(key, "/d/"), None);
@@ -60,82 +60,94 @@
 }
 
 #[test]
-fn one_unreadable_record_takes_no_other_along_and_keys_out_of_order_spoil_the_page() {
-    let r = reader();
-    let read = r
-        .page(&page(vec![kv("/d/a", "noise", 4), kv("/d/b", GOOD, 5), kv("/d/x y", GOOD, 6)]), b"/d/")
+fn an_unusable_record_affects_only_its_key_and_an_invalid_key_or_revision_rejects_the_page() {
+    let reader = test_reader();
+    let decoded = reader
+        .page(
+            &page(vec![kv("/d/a", "noise", 4), kv("/d/b", VALID_RECORD, 5), kv("/d/x y", VALID_RECORD, 6)]),
+            b"/d/",
+        )
         .unwrap();
     assert!(
-        read.entries[0].endpoint.is_err() && read.entries[1].endpoint.is_ok() && read.entries[2].id.is_none()
+        decoded.entries[0].endpoint.is_err()
+            && decoded.entries[1].endpoint.is_ok()
+            && decoded.entries[2].id.is_none()
     );
     for kvs in [
-        vec![kv("/d/b", GOOD, 5), kv("/d/a", GOOD, 4)],
-        vec![kv("/e/a", GOOD, 4)],
-        vec![kv("/d/a", GOOD, 1)],
-        vec![kv("/d/a", GOOD, -4)],
+        vec![kv("/d/b", VALID_RECORD, 5), kv("/d/a", VALID_RECORD, 4)],
+        vec![kv("/e/a", VALID_RECORD, 4)],
+        vec![kv("/d/a", VALID_RECORD, 1)],
+        vec![kv("/d/a", VALID_RECORD, -4)],
     ] {
-        assert!(r.page(&page(kvs), b"/d/").is_err());
+        assert!(reader.page(&page(kvs), b"/d/").is_err());
     }
-    assert!(r.page(&page(vec![kv("/d/a", GOOD, 4)]), b"/d/b").is_err(), "before what was asked for");
-    let removed = WireEvent { kind: 1, kv: Some(kv("/d/a", "", 8)), prev_kv: None };
-    let said =
-        WatchResponse { header: page(vec![]).header, events: vec![removed], ..WatchResponse::default() };
     assert!(
-        matches!(&r.watch_message(&said).unwrap().events[0], Event::Delete { key, revision: 8 } if **key == *b"/d/a")
+        reader.page(&page(vec![kv("/d/a", VALID_RECORD, 4)]), b"/d/b").is_err(),
+        "a key before the requested range"
     );
-    assert!(r.watch_message(&WatchResponse::default()).is_err(), "no head");
+    let delete = WireEvent { kind: 1, kv: Some(kv("/d/a", "", 8)), prev_kv: None };
+    let response =
+        WatchResponse { header: page(vec![]).header, events: vec![delete], ..WatchResponse::default() };
+    assert!(
+        matches!(&reader.watch_message(&response).unwrap().events[0], Event::Delete { key, revision: 8 } if **key == *b"/d/a")
+    );
+    assert!(reader.watch_message(&WatchResponse::default()).is_err(), "no header");
 }
 
-fn saved() -> SavedList {
-    let entries =
-        reader().page(&page(vec![kv("/d/a", GOOD, 4), kv("/d/b", GOOD, 5)]), b"/d/").unwrap().entries;
+fn saved_list() -> SavedList {
+    let entries = test_reader()
+        .page(&page(vec![kv("/d/a", VALID_RECORD, 4), kv("/d/b", VALID_RECORD, 5)]), b"/d/")
+        .unwrap()
+        .entries;
     SavedList { cluster: 7, revision: 90, entries }
 }
 
 #[test]
-fn a_file_on_disk_comes_back_whole_and_a_damaged_one_is_refused_with_its_reason() {
-    let r = reader();
-    let bytes = snapshot::encode(&saved(), &r);
-    assert_eq!(snapshot::decode(&bytes, &r, 9), Ok(saved()));
-    for cut in 0..bytes.len() {
-        assert!(snapshot::decode(&bytes[..cut], &r, 9).is_err(), "cut at {cut}");
+fn a_snapshot_decodes_to_the_saved_list_and_a_damaged_one_is_rejected_with_the_reason() {
+    let reader = test_reader();
+    let bytes = snapshot::encode(&saved_list(), &reader);
+    assert_eq!(snapshot::decode(&bytes, &reader, 9), Ok(saved_list()));
+    for length in 0..bytes.len() {
+        assert!(snapshot::decode(&bytes[..length], &reader, 9).is_err(), "truncated to {length} bytes");
     }
-    for at in 0..bytes.len() {
-        let mut bad = bytes.clone();
-        bad[at] ^= 0x41;
-        assert!(snapshot::decode(&bad, &r, 9).is_err(), "damaged at {at}");
+    for offset in 0..bytes.len() {
+        let mut damaged = bytes.clone();
+        damaged[offset] ^= 0x41;
+        assert!(snapshot::decode(&damaged, &reader, 9).is_err(), "damaged at {offset}");
     }
-    let refused = |bytes: &[u8], r: &Reader, most| snapshot::decode(bytes, r, most).unwrap_err().to_string();
-    let mut newer = bytes.clone();
-    newer[11] = 2;
-    assert!(refused(&newer, &r, 9).contains("version 2"));
-    assert!(refused(b"#!/bin/sh, and more than a head has", &r, 9).contains("no list"));
-    assert!(refused(&bytes, &Reader { prefix: "/e/".into(), ..reader() }, 9).contains("prefix '/d/'"));
-    assert!(refused(&bytes, &r, 1).contains("2 keys, 1 may be"));
+    let error = |bytes: &[u8], reader: &Reader, max_keys| {
+        snapshot::decode(bytes, reader, max_keys).unwrap_err().to_string()
+    };
+    let mut newer_version = bytes.clone();
+    newer_version[11] = 2;
+    assert!(error(&newer_version, &reader, 9).contains("has format version 2"));
+    assert!(error(b"#!/bin/sh, and more than a head has", &reader, 9).contains("not a snapshot"));
+    assert!(error(&bytes, &Reader { prefix: "/e/".into(), ..test_reader() }, 9).contains("prefix '/d/'"));
+    assert!(error(&bytes, &reader, 1).contains("2 keys, at most 1 are allowed"));
 }
 
 #[test]
-fn the_folder_always_has_a_whole_file_also_where_writing_broke_off() {
+fn the_previous_snapshot_is_loaded_when_writing_a_new_one_was_interrupted() {
     let folder = std::env::temp_dir().join(format!("larchdale-snapshot-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let r = reader();
-    assert!(snapshot::load(&folder, &r, 9).unwrap_err().to_string().contains("can't read"));
-    snapshot::store(&folder, &snapshot::encode(&saved(), &r)).unwrap();
-    // What a crash in the middle of the next one leaves.
+    let reader = test_reader();
+    assert!(snapshot::load(&folder, &reader, 9).unwrap_err().to_string().contains("can't read"));
+    snapshot::store(&folder, &snapshot::encode(&saved_list(), &reader)).unwrap();
+    // The temporary file that a crash leaves behind while the next snapshot is written.
     std::fs::write(folder.join("depots.list.new"), b"larchlst").unwrap();
-    assert_eq!(snapshot::load(&folder, &r, 9).unwrap(), saved());
+    assert_eq!(snapshot::load(&folder, &reader, 9).unwrap(), saved_list());
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 proptest! {
     #![proptest_config(config())]
     #[test]
-    fn noise_is_survived(noise in prop::collection::vec(any::<u8>(), 0..300), text in ".{0,120}") {
-        let r = reader();
-        let _ = RangeResponse::decode(&noise[..]).map(|p| r.page(&p, b"/d/"));
-        let _ = WatchResponse::decode(&noise[..]).map(|w| r.watch_message(&w));
-        let _ = r.names.read(&noise, 4096);
-        let _ = r.names.read(text.as_bytes(), 4096);
-        prop_assert!(snapshot::decode(&noise, &r, 9).is_err());
+    fn random_bytes_and_texts_are_decoded_without_panic(random_bytes in prop::collection::vec(any::<u8>(), 0..300), text in ".{0,120}") {
+        let reader = test_reader();
+        let _ = RangeResponse::decode(&random_bytes[..]).map(|response| reader.page(&response, b"/d/"));
+        let _ = WatchResponse::decode(&random_bytes[..]).map(|response| reader.watch_message(&response));
+        let _ = reader.names.read(&random_bytes, 4096);
+        let _ = reader.names.read(text.as_bytes(), 4096);
+        prop_assert!(snapshot::decode(&random_bytes, &reader, 9).is_err());
     }
 }
