--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -1,5 +1,5 @@
-//! Joins the session to the event loop: the connection, calls and their answers, the snapshot on disk, and the log. It
-//! decides nothing. The proxy owns it.
+//! Connects the session to the event loop: performs the session's actions on the connection, passes responses to the
+//! session, writes the snapshot to disk, and logs notices. All decisions are the session's. The proxy owns the driver.
 
 use super::answers::Reader;
 use super::grpc::ChannelEvent;
@@ -21,32 +21,32 @@
 use mio::Token;
 use slog::{info, warn, Logger};
 
-/// How often what has arrived may lead to further calls within one turn.
+/// Maximum number of rounds per turn in which received events may lead to further actions.
 const MAX_ROUNDS_PER_TURN: usize = 2;
-/// Least time between two snapshots.
+/// Minimum time between two snapshots, in microseconds.
 const SNAPSHOT_INTERVAL: Micros = 2_000_000;
 
 /// The calls on the open connection.
 #[derive(Default)]
 struct OpenCalls {
-    /// The stream of the watches.
+    /// Number of the call that carries the watch stream.
     watch: Option<u64>,
-    /// The call for a page, with the first key that it asks for.
+    /// Number of the call for a page, with the first requested key.
     page: Option<(u64, Vec<u8>)>,
-    /// The last call whose answer has arrived; its end is still to come and says nothing more.
+    /// Number of the last call whose response has arrived. The successful end of that call needs no further handling.
     answered: u64,
 }
 
-/// The snapshot on disk.
+/// The writing of snapshots to disk.
 struct Snapshots {
     saver: snapshot::Saver,
-    /// The revision that was saved last.
+    /// Revision of the last snapshot that was passed to the saver.
     saved_revision: u64,
-    /// When it was saved, or could not be.
+    /// Time of the last attempt to save a snapshot.
     saved_at: Micros,
 }
 
-/// The registry as one instance follows it.
+/// The driver of one instance's session with the registry.
 pub struct Driver {
     log: Logger,
     settings: Settings,
@@ -61,7 +61,7 @@
 }
 
 impl Driver {
-    /// A driver that begins now, with the snapshot if there is a usable one.
+    /// Creates a driver that may dial at once and starts with the snapshot, if a usable one exists.
     pub fn new(settings: Settings, names: Names, seed: u64, now: Micros, log: Logger) -> Self {
         let prefix = settings.prefix.clone();
         let reader = Reader { prefix, names, max_value_bytes: settings.most_value };
@@ -81,32 +81,32 @@
         }
     }
 
-    /// The token of its connection.
+    /// Returns the event loop token of the connection, if any.
     pub fn token(&self) -> Option<Token> {
         self.link.as_ref().map(Link::token)
     }
 
-    /// When it wants a turn without any input.
+    /// Returns when the next turn is due without further input.
     pub fn next(&self) -> Micros {
         self.session.next()
     }
 
-    /// Whether there is more to do than the last turn did.
+    /// Returns whether the last turn has left work that can be done at once.
     pub fn wants_turn(&self) -> bool {
         self.has_work || self.session.has_updates() || self.session.is_applying_list()
     }
 
-    /// Takes up to `max_updates` updates of the list.
+    /// Removes and returns up to `max_updates` pending updates of the list of endpoints, oldest first.
     pub fn take_updates(&mut self, max_updates: usize) -> impl Iterator<Item = Update> + '_ {
         self.session.take_updates(max_updates)
     }
 
-    /// The session, for its counters.
+    /// Returns the session, for its counters.
     pub fn session(&self) -> &Session {
         &self.session
     }
 
-    /// Takes new settings; `false`: some of them require a restart.
+    /// Applies new settings. Returns `false` if some of them require a restart; those keep their old values.
     pub fn reconfigure(&mut self, now: Micros, new: &Settings) -> bool {
         let old = &self.settings;
         let applicable = Settings {
@@ -123,15 +123,15 @@
         is_complete
     }
 
-    /// Takes an event of the event loop.
+    /// Handles a readiness event of the event loop; ignores the events of other sockets.
     pub fn ready(&mut self, event: Ready) {
         if let Some(link) = self.link.as_mut().filter(|link| link.token() == event.token) {
             link.mark_ready();
         }
     }
 
-    /// Does what is due and what can be done. What has arrived is read before silence is judged: it may have lain
-    /// there since the process was stopped.
+    /// Receives, advances the session, performs its actions, and saves a snapshot if due. Received data is read before
+    /// timeouts are checked, because the data may have arrived in time while the process was suspended.
     pub fn turn(&mut self, now: Micros, event_loop: &mut EventLoop) {
         self.receive(now);
         self.session.tick(now, &mut self.actions);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// A request for all keys below the prefix.
+    /// Returns a request for all keys below the prefix.
     fn range(&self) -> RangeRequest {
         RangeRequest {
             key: self.reader.prefix.clone().into_bytes(),
@@ -218,7 +218,7 @@
         self.send_watch_request(watch as u64, watch_request::Request::Create(create));
     }
 
-    /// Sends on the stream of the watches, which the first request opens under `call`.
+    /// Sends a request on the watch stream. The first request opens the stream as the call with number `call`.
     fn send_watch_request(&mut self, call: u64, request: watch_request::Request) {
         let Some(link) = &mut self.link else { return };
         let message = WatchRequest { request: Some(request) };
@@ -232,15 +232,15 @@
         });
     }
 
-    /// Sends and receives, unless many updates wait to be taken: then the flow control makes the registry wait, and the
-    /// queue stays bounded.
+    /// Sends and receives, unless too many updates are pending. In that case, flow control stops the registry from
+    /// sending, which bounds the queue of updates.
     fn receive(&mut self, now: Micros) {
         if self.session.pending_updates() <= self.settings.most_keys {
             self.poll_link(now);
         }
     }
 
-    /// Sends and receives, and hands what has arrived to the session.
+    /// Sends and receives on the connection, and passes the received events to the session.
     fn poll_link(&mut self, now: Micros) {
         let Some(link) = &mut self.link else { return };
         let mut events = std::mem::take(&mut self.events);
@@ -270,14 +270,18 @@
             }
             ChannelEvent::Ended { call, status } if status.is_ok() && self.calls.answered == call => {}
             ChannelEvent::Ended { call, status } => {
-                let status = if status.is_ok() { Status::new(code::OK, "no answer") } else { status };
+                let status = if status.is_ok() {
+                    Status::new(code::OK, "the call ended without a response")
+                } else {
+                    status
+                };
                 self.session.call_failed(now, call, status, &mut self.actions);
             }
             ChannelEvent::Closed { .. } => self.session.lost(now, connection, &mut self.actions),
         }
     }
 
-    /// A page or a count has arrived.
+    /// Handles the response to a call for a page or a count.
     fn range_received(&mut self, now: Micros, call: u64, bytes: Bytes) {
         self.calls.answered = call;
         let page_call = self.calls.page.take_if(|(page_call, _)| *page_call == call);
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Has the list saved if it has changed, unless it was saved a moment ago.
+    /// Passes the list to the saver if its revision has changed and the minimum interval has passed.
     fn save_snapshot(&mut self, now: Micros) {
         let Some(snapshots) = &mut self.snapshots else { return };
         let is_due = now.saturating_sub(snapshots.saved_at) >= SNAPSHOT_INTERVAL;
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Writes the counters to the log.
+    /// Logs the counters of the session and the number of endpoints in each state.
     pub fn report(&self, now: Micros, counts: &Counts) {
         let age = self.session.confirmed().map(|confirmed| now.saturating_sub(confirmed) / 1000);
         info!(self.log, "registry figures"; "list_age_ms" => age, "watching" => self.session.is_watching(),
@@ -329,23 +333,23 @@
                 warn!(log, "registry: connection lost"; "endpoint" => address(endpoint), "why" => ?reason);
             }
             Notice::Compacted { revision } => {
-                info!(log, "registry: history is compacted, lists again"; "known" => revision);
+                info!(log, "registry: revision is compacted, reading a new list"; "known" => revision);
             }
-            Notice::Relisting(reason) => warn!(log, "registry: lists again"; "why" => %reason),
+            Notice::Relisting(reason) => warn!(log, "registry: reading a new list"; "why" => %reason),
             Notice::MemberBehind { endpoint, revision, accepted } => {
-                warn!(log, "registry: member lags, not accepted"; "endpoint" => address(endpoint),
+                warn!(log, "registry: member lags, its state is not accepted"; "endpoint" => address(endpoint),
                       "revision" => revision, "seen" => accepted);
             }
             Notice::OtherCluster { endpoint, cluster } => {
-                warn!(log, "registry: another cluster, not accepted"; "endpoint" => address(endpoint),
+                warn!(log, "registry: member belongs to another cluster, its state is not accepted"; "endpoint" => address(endpoint),
                       "cluster" => format!("{cluster:016x}"));
             }
             Notice::Restored { cluster, revision, accepted } => {
-                warn!(log, "registry: restored or replaced, its list is taken whole";
+                warn!(log, "registry: restored or replaced, its list replaces the current one";
                       "cluster" => format!("{cluster:016x}"), "revision" => revision, "seen" => accepted);
             }
             Notice::UnreadableRecord { key, revision, error } => {
-                warn!(log, "registry: record can't be read, counts as draining";
+                warn!(log, "registry: record is unusable, its endpoint is treated as draining";
                       "key" => String::from_utf8_lossy(&key).into_owned(), "revision" => revision,
                       "why" => %error);
             }
@@ -357,7 +361,8 @@
     }
 }
 
-/// Starts the session with the snapshot if there is a usable one, and the thread that writes new ones.
+/// Starts the session with the snapshot, if a usable one exists, and starts the thread that writes snapshots. Returns
+/// `None` if the settings name no folder for snapshots or the thread can't be started.
 fn resume_from_snapshot(
     settings: &Settings,
     reader: &Reader,
@@ -368,16 +373,16 @@
     let folder = settings.snapshot.as_ref()?;
     match snapshot::load(folder, reader, settings.most_keys) {
         Ok(list) => {
-            info!(log, "registry: starts from the snapshot"; "revision" => list.revision,
+            info!(log, "registry: starting from the snapshot"; "revision" => list.revision,
                   "depots" => list.entries.len());
             session.resume(list);
         }
-        Err(error) => warn!(log, "registry: starts without a snapshot"; "why" => %error),
+        Err(error) => warn!(log, "registry: starting without a snapshot"; "why" => %error),
     }
     match snapshot::Saver::start(folder.clone(), reader.clone()) {
         Ok(saver) => Some(Snapshots { saver, saved_revision: 0, saved_at: now }),
         Err(error) => {
-            warn!(log, "registry: keeps no snapshot"; "why" => %error);
+            warn!(log, "registry: can't write snapshots"; "why" => %error);
             None
         }
     }
--- a/src/registry/grpc/call.rs
+++ b/src/registry/grpc/call.rs
@@ -1,4 +1,4 @@
-//! One open call: its response head, its messages, and the status with which it ends.
+//! One open call: the response headers, the messages, and the final status.
 
 use super::channel::ChannelEvent;
 use super::framing::decode_message;
@@ -11,17 +11,17 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 
-/// Characters of the peer's status message that are kept.
+/// Maximum number of characters of the peer's status message that are kept.
 const MAX_STATUS_MESSAGE_CHARS: usize = 200;
 
 /// A call whose request has been sent.
 pub(super) struct Call {
     pub(super) number: u64,
-    /// The response head, until it has arrived.
+    /// The pending response headers; `None` once they have arrived.
     response: Option<ResponseFuture>,
     requests: SendStream<Bytes>,
     body: Option<RecvStream>,
-    /// Received bytes that do not make a whole message yet.
+    /// Received bytes that do not form a complete message yet.
     received: BytesMut,
 }
 
@@ -30,7 +30,7 @@
         Call { number, response: Some(response), requests, body: None, received: BytesMut::new() }
     }
 
-    /// Sends a further message. If the call has ended its status tells so.
+    /// Sends a further message. An error is ignored here, because the final status of the call reports it.
     pub(super) fn send(&mut self, message: Bytes) {
         let _ = self.requests.send_data(message, false);
     }
@@ -39,7 +39,7 @@
         self.requests.send_reset(h2::Reason::CANCEL);
     }
 
-    /// Appends the messages that have arrived; ready with the status once the call has ended.
+    /// Appends the messages that have arrived. Returns the final status once the call has ended.
     pub(super) fn poll(
         &mut self,
         context: &mut Context<'_>,
@@ -68,7 +68,7 @@
         Poll::Pending
     }
 
-    /// Takes bytes of the body, and appends the messages that they complete.
+    /// Appends the messages that are complete with these further bytes of the body.
     fn receive(
         &mut self,
         data: &Bytes,
@@ -77,8 +77,8 @@
     ) -> Result<(), Status> {
         self.received.extend_from_slice(data);
         if let Some(body) = &mut self.body {
-            // The size of a message bounds what is held here, so the window opens again at once. This fails only
-            // for more bytes than were received.
+            // The maximum message size bounds the buffer, so the flow-control window is reopened at once. Releasing
+            // fails only for more bytes than were received.
             let _ = body.flow_control().release_capacity(data.len());
         }
         loop {
@@ -92,28 +92,29 @@
             }
         }
         if self.received.is_empty() {
-            // Frees the buffer, which may have grown to the size of the largest message.
+            // Frees the buffer, which may have grown to the maximum message size.
             self.received = BytesMut::new();
         }
         Ok(())
     }
 
-    /// Reads the status behind the last message.
+    /// Reads the status from the trailers after the last message.
     fn poll_end(&mut self, context: &mut Context<'_>) -> Poll<Status> {
         if !self.received.is_empty() {
-            return Poll::Ready(Status::new(code::INTERNAL, "the answer ended in the middle of a message"));
+            return Poll::Ready(Status::new(code::INTERNAL, "the response ended in the middle of a message"));
         }
         let Some(body) = &mut self.body else { return Poll::Pending };
         Poll::Ready(match ready!(body.poll_trailers(context)) {
-            Ok(Some(trailers)) => status_in(&trailers)
-                .unwrap_or_else(|| Status::new(code::UNKNOWN, "the answer's end tells no status")),
-            Ok(None) => Status::new(code::UNAVAILABLE, "the answer broke off"),
+            Ok(Some(trailers)) => status_in(&trailers).unwrap_or_else(|| {
+                Status::new(code::UNKNOWN, "the trailers of the response contain no status")
+            }),
+            Ok(None) => Status::new(code::UNAVAILABLE, "the response ended without trailers"),
             Err(error) => broken_connection(&error),
         })
     }
 }
 
-/// The body behind a response head, or the status that the head alone tells.
+/// Returns the body of a response, or the status if the headers already contain one or report an HTTP error.
 fn response_body(response: Result<http::Response<RecvStream>, h2::Error>) -> Result<RecvStream, Status> {
     let response = response.map_err(|error| broken_connection(&error))?;
     if response.status() != http::StatusCode::OK {
@@ -125,7 +126,7 @@
     }
 }
 
-/// The status that headers or trailers tell.
+/// Returns the gRPC status in headers or trailers, if they contain one.
 fn status_in(headers: &HeaderMap) -> Option<Status> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let code = text("grpc-status")?.parse().unwrap_or(code::UNKNOWN);
@@ -133,7 +134,7 @@
     Some(Status::new(code, message.chars().take(MAX_STATUS_MESSAGE_CHARS).collect::<String>()))
 }
 
-/// The status of a call whose connection failed.
+/// Returns the status of a call that failed because of an HTTP/2 error.
 pub(super) fn broken_connection(error: &h2::Error) -> Status {
     Status::new(code::UNAVAILABLE, error.to_string())
 }
--- a/src/registry/grpc/channel.rs
+++ b/src/registry/grpc/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with its calls: begins calls as HTTP/2 allows it, and collects what arrives on them.
+//! A connection with its calls: starts queued calls as HTTP/2 permits, and collects the events of open calls.
 
 use super::call::{broken_connection, Call};
 use super::framing::encode_message;
@@ -15,34 +15,35 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, Waker};
 
-/// How often h2 may ask to be polled again within one turn.
+/// Maximum number of polls within one turn while h2 keeps requesting another poll.
 const MAX_POLL_ROUNDS: usize = 64;
-/// Flow-control window, of one call and of the connection.
+/// Flow-control window of each call and of the connection, in bytes.
 const WINDOW_BYTES: u32 = 1 << 20;
+/// Maximum size of the headers of a response, in bytes.
 const MAX_HEADER_BYTES: u32 = 16 << 10;
-/// Calls that are open at a time; further ones wait.
+/// Maximum number of open calls; further calls wait in the queue.
 const MAX_OPEN_CALLS: usize = 64;
 
-/// What happened on a connection.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum ChannelEvent {
-    /// A whole message arrived on a call.
+    /// A complete message arrived on a call.
     Message {
-        /// The call's number.
+        /// Number of the call.
         call: u64,
         /// The encoded message.
         bytes: Bytes,
     },
-    /// A call ended; nothing more arrives on it.
+    /// A call ended; no further event follows for it.
     Ended {
-        /// The call's number.
+        /// Number of the call.
         call: u64,
-        /// How it ended.
+        /// Final status of the call.
         status: Status,
     },
-    /// The connection ended; all its calls have ended before.
+    /// The connection was closed; the ends of all its calls were reported before.
     Closed {
-        /// What ended it, for the log.
+        /// Why the connection was closed, for the log.
         reason: String,
     },
 }
@@ -63,7 +64,7 @@
     is_last_message: bool,
 }
 
-/// A connection with its calls.
+/// An HTTP/2 connection with its queued and open calls.
 pub struct Channel<T> {
     state: State<T>,
     authority: String,
@@ -76,7 +77,7 @@
 }
 
 impl<T: Read + Write + Unpin + 'static> Channel<T> {
-    /// Begins the handshake on a connected stream; `authority` names the peer.
+    /// Begins the HTTP/2 handshake on a connected stream; `authority` is the peer's name in the requests.
     pub fn new(stream: T, authority: String, max_message_bytes: usize) -> Self {
         let read_budget = Rc::<ReadBudget>::default();
         let wake_flag = Arc::<WakeFlag>::default();
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Begins a call under a number of the caller's choice; `is_last_message`: no other message follows the first.
+    /// Queues a call with a number that the caller chooses. `is_last_message` means that no message follows the first
+    /// one.
     pub fn call(
         &mut self,
         number: u64,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Cancels a call; no event follows for it.
+    /// Cancels a queued or open call; no further event follows for it.
     pub fn cancel(&mut self, number: u64) {
         self.queued_calls.retain(|call| call.number != number);
         self.open_calls.retain_mut(|call| {
@@ -128,12 +130,12 @@
         });
     }
 
-    /// Whether there may be more to do than the last poll did.
+    /// Returns whether the last poll may have left work that can be done at once.
     pub fn wants_turn(&self) -> bool {
         self.read_budget.is_exhausted()
     }
 
-    /// Sends and receives what can be now; appends what happened.
+    /// Sends and receives as far as possible without blocking, and appends the resulting events.
     pub fn poll(&mut self, events: &mut Vec<ChannelEvent>) {
         self.read_budget.refill();
         let waker = self.waker.clone();
@@ -162,7 +164,7 @@
         let State::Open(_, connection) = &mut self.state else { return };
         let closed_reason = match Pin::new(connection).poll(context) {
             Poll::Pending => None,
-            Poll::Ready(Ok(())) => Some("the other end closed".to_owned()),
+            Poll::Ready(Ok(())) => Some("the peer closed the connection".to_owned()),
             Poll::Ready(Err(error)) => Some(error.to_string()),
         };
         self.poll_open_calls(context, events);
@@ -225,7 +227,7 @@
         .header("content-type", "application/grpc")
         .header("te", "trailers")
         .body(())
-        .map_err(|_| Status::new(code::INTERNAL, "the call's path can't be used"))?;
+        .map_err(|_| Status::new(code::INTERNAL, "the path of the call is invalid"))?;
     let (response, mut requests) =
         sender.send_request(request, false).map_err(|error| broken_connection(&error))?;
     requests
--- a/src/registry/grpc/framing.rs
+++ b/src/registry/grpc/framing.rs
@@ -1,9 +1,9 @@
-//! gRPC's message framing: a compression flag, the length, and the message.
+//! The message framing of gRPC: a compression flag, the length, and the message.
 
 use crate::registry::status::{code, Status};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Bytes before a message: the compression flag and the length.
+/// Length of the prefix of a message, in bytes: the compression flag and the length.
 const PREFIX_BYTES: usize = 5;
 
 /// Encodes a message with its prefix.
@@ -16,7 +16,8 @@
     bytes.freeze()
 }
 
-/// Takes one message off the front of `bytes`; `None`, and `bytes` unchanged, while it is incomplete.
+/// Removes one message from the front of `bytes`. Returns `None` and leaves `bytes` unchanged while the message is
+/// incomplete.
 ///
 /// # Errors
 /// The message is compressed, or longer than `max_message_bytes`.
@@ -24,11 +25,14 @@
     let Some(&[compressed, length @ ..]) = bytes.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
     if compressed != 0 {
-        return Err(Status::new(code::INTERNAL, "a compressed message that was not asked for"));
+        return Err(Status::new(
+            code::INTERNAL,
+            "received a compressed message, although compression was not requested",
+        ));
     }
-    // Checked before the rest arrives, so that no memory is spent on a length that is not accepted.
+    // Checks the length before the message arrives, so that no memory is allocated for a message that is too long.
     if length > max_message_bytes {
-        let message = format!("a message of {length} bytes, {max_message_bytes} may be");
+        let message = format!("the message has {length} bytes, at most {max_message_bytes} are allowed");
         return Err(Status::new(code::RESOURCE_EXHAUSTED, message));
     }
     if bytes.len() < PREFIX_BYTES + length {
--- a/src/registry/grpc/mod.rs
+++ b/src/registry/grpc/mod.rs
@@ -1,9 +1,9 @@
 //! A gRPC client on one non-blocking connection of the event loop.
 //!
-//! h2 does the HTTP/2 framing. Its futures are polled by the owner whenever the socket is ready or h2 itself asks
-//! for it: there is no runtime and no thread. [`channel`] owns the connection and the queue of calls, `call` one
-//! open call, [`framing`] the length-prefixed messages, [`stream`] the socket and its read budget. The registry's
-//! drivers and the command line use it.
+//! h2 does the HTTP/2 framing. The owner polls its futures whenever the socket is ready or h2 itself requests another
+//! poll, so no async runtime and no thread is needed. [`channel`] manages the connection and the queue of calls, `call`
+//! one open call, [`framing`] the length-prefixed messages, and [`stream`] the socket and its read budget. The drivers
+//! of the registry and the command line use this client.
 
 mod call;
 pub mod channel;
--- a/src/registry/grpc/stream.rs
+++ b/src/registry/grpc/stream.rs
@@ -1,5 +1,5 @@
-//! A non-blocking stream with the interface that h2 polls, a bound on the bytes read in one turn, and the flag by
-//! which h2 asks for another poll.
+//! A non-blocking stream with the interface that h2 polls, a limit on the bytes read in one turn, and the flag by
+//! which h2 requests another poll.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Read, Write};
@@ -10,10 +10,10 @@
 use std::task::{Context, Poll, Wake};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes read in one turn, so that other connections get theirs.
+/// Maximum number of bytes read from one connection in one turn, so that other connections get their turn.
 const READ_BUDGET_BYTES: usize = 128 * 1024;
 
-/// The bytes that may still be read in this turn. The owner of the connection and its stream share it.
+/// The number of bytes that may still be read in this turn. The owner of the connection and its stream share it.
 #[derive(Debug, Default)]
 pub struct ReadBudget {
     remaining_bytes: Cell<usize>,
@@ -21,24 +21,25 @@
 }
 
 impl ReadBudget {
-    /// Begins a new turn.
+    /// Restores the full budget at the beginning of a turn.
     pub fn refill(&self) {
         self.remaining_bytes.set(READ_BUDGET_BYTES);
         self.exhausted.set(false);
     }
 
-    /// Whether there may be more to read than this turn allowed.
+    /// Returns whether this turn may have left data or other work because of its limits.
     pub fn is_exhausted(&self) -> bool {
         self.exhausted.get()
     }
 
-    /// Records that this turn did not do all that could be done.
+    /// Records that this turn ended at one of its limits.
     pub fn mark_exhausted(&self) {
         self.exhausted.set(true);
     }
 }
 
-/// A non-blocking stream as h2 polls it. It wakes no task: the owner polls when the event loop reports the socket.
+/// A non-blocking stream with a read budget, for polling by h2. The stream wakes no task: the owner of the connection
+/// polls when the event loop reports the socket as ready.
 #[derive(Debug)]
 pub struct BudgetedStream<T> {
     stream: T,
@@ -46,13 +47,13 @@
 }
 
 impl<T> BudgetedStream<T> {
-    /// Wraps a stream; `budget` is shared with the one who polls.
+    /// Wraps a stream; `budget` is shared with the owner of the connection.
     pub fn new(stream: T, budget: Rc<ReadBudget>) -> Self {
         BudgetedStream { stream, budget }
     }
 }
 
-/// Repeats an operation that a signal interrupted; `Pending` where it would block.
+/// Performs an operation, repeated while signals interrupt it; `Pending` if the operation would block.
 fn poll_io<R>(mut operation: impl FnMut() -> io::Result<R>) -> Poll<io::Result<R>> {
     loop {
         match operation() {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Records that h2 has asked to be polled again.
+/// Records that h2 has requested another poll.
 #[derive(Debug, Default)]
 pub struct WakeFlag(AtomicBool);
 
@@ -111,7 +112,7 @@
 }
 
 impl WakeFlag {
-    /// Whether h2 has asked since the last call of this; clears the flag.
+    /// Clears the flag and returns whether h2 has requested a poll since the flag was last cleared.
     pub fn clear(&self) -> bool {
         self.0.swap(false, Ordering::Relaxed)
     }
--- a/src/registry/grpc/tests.rs
+++ b/src/registry/grpc/tests.rs
@@ -1,4 +1,4 @@
-//! Messages by the published field numbers, cut anywhere, and noise.
+//! The framing of messages: encoding by the published field numbers, messages split at any byte, and random input.
 
 use super::framing::{decode_message, encode_message};
 use crate::net::testing::config;
@@ -8,35 +8,36 @@
 use proptest::prelude::*;
 use prost::Message;
 
-fn messages(bytes: &[u8], cuts: &[usize]) -> Result<Vec<Bytes>, Status> {
-    let (mut held, mut out, mut from) = (BytesMut::new(), Vec::new(), 0);
-    for to in cuts.iter().copied().chain([bytes.len()]) {
+/// Decodes `bytes` that arrive in parts, split at the ascending positions `splits`.
+fn decode_messages(bytes: &[u8], splits: &[usize]) -> Result<Vec<Bytes>, Status> {
+    let (mut buffer, mut messages, mut from) = (BytesMut::new(), Vec::new(), 0);
+    for to in splits.iter().copied().chain([bytes.len()]) {
         let to = to.clamp(from, bytes.len());
-        held.extend_from_slice(&bytes[from..to]);
+        buffer.extend_from_slice(&bytes[from..to]);
         from = to;
-        while let Some(message) = decode_message(&mut held, 1_000)? {
-            out.push(message);
+        while let Some(message) = decode_message(&mut buffer, 1_000)? {
+            messages.push(message);
         }
     }
-    Ok(out)
+    Ok(messages)
 }
 
 #[test]
-fn a_message_is_written_by_its_public_field_numbers() {
+fn messages_are_encoded_and_decoded_by_the_published_field_numbers() {
     let request = RangeRequest { key: b"/a".to_vec(), limit: 5, count_only: true, ..RangeRequest::default() };
-    // Field 1 as bytes, 3 as a number, 9 as a bool; before them the flag and the length.
+    // The compression flag and the length, then field 1 as bytes, 3 as a number and 9 as a bool.
     assert_eq!(&encode_message(&request)[..], b"\0\0\0\0\x08\x0a\x02/a\x18\x05\x48\x01");
     let watch = WatchResponse::decode(
         &b"\x0a\x04\x08\x07\x18\x09\x10\x03\x20\x01\x28\x05\x5a\x06\x08\x01\x12\x02\x18\x08"[..],
     );
     let watch = watch.unwrap();
-    assert_eq!(watch.header.map(|h| (h.cluster_id, h.revision)), Some((7, 9)));
+    assert_eq!(watch.header.map(|header| (header.cluster_id, header.revision)), Some((7, 9)));
     assert!(watch.watch_id == 3 && watch.canceled && watch.compact_revision == 5);
     assert_eq!(watch.events[0].kv.as_ref().map(|kv| kv.mod_revision), Some(8));
 }
 
 #[test]
-fn a_mad_length_is_refused_before_anything_is_gathered_for_it() {
+fn a_message_that_is_too_long_or_compressed_is_rejected_by_its_prefix() {
     let mut bytes = BytesMut::from(&b"\0\xff\xff\xff\xff"[..]);
     assert_eq!(decode_message(&mut bytes, 1_000).unwrap_err().code, code::RESOURCE_EXHAUSTED);
     let mut bytes = BytesMut::from(&b"\x01\0\0\0\x01a"[..]);
@@ -46,19 +47,19 @@
 proptest! {
     #![proptest_config(config())]
     #[test]
-    fn messages_may_be_cut_anywhere(keys in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6), cuts in prop::collection::vec(0..200usize, 0..8)) {
+    fn messages_that_are_split_anywhere_are_decoded(keys in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6), splits in prop::collection::vec(0..200usize, 0..8)) {
         let request = |key: &Vec<u8>| RangeRequest { key: key.clone(), ..RangeRequest::default() };
-        let bytes: Vec<u8> = keys.iter().flat_map(|k| encode_message(&request(k)).to_vec()).collect();
-        let mut cuts = cuts;
-        cuts.sort_unstable();
-        let read = messages(&bytes, &cuts).unwrap();
-        let read: Vec<Vec<u8>> = read.into_iter().map(|m| RangeRequest::decode(m).unwrap().key).collect();
-        prop_assert_eq!(read, keys);
+        let bytes: Vec<u8> = keys.iter().flat_map(|key| encode_message(&request(key)).to_vec()).collect();
+        let mut splits = splits;
+        splits.sort_unstable();
+        let decoded = decode_messages(&bytes, &splits).unwrap();
+        let decoded: Vec<Vec<u8>> = decoded.into_iter().map(|message| RangeRequest::decode(message).unwrap().key).collect();
+        prop_assert_eq!(decoded, keys);
     }
 
     #[test]
-    fn noise_is_survived(noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        for message in messages(&noise, &[]).unwrap_or_default() {
+    fn random_bytes_are_decoded_without_panic(random_bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        for message in decode_messages(&random_bytes, &[]).unwrap_or_default() {
             let _ = WatchRequest::decode(message.clone());
             let _ = WatchResponse::decode(message);
         }
--- a/src/registry/link.rs
+++ b/src/registry/link.rs
@@ -1,5 +1,5 @@
-//! A driver's connection to an endpoint of the registry: dialing, and the gRPC channel once it is open. The drivers of
-//! the session and of the documents own one each.
+//! A driver's connection to an endpoint of the registry: the dial, and the gRPC channel once the connection is open. The
+//! drivers of the session and of the documents own one connection each.
 
 use super::grpc::{Channel, ChannelEvent};
 use crate::net::connection::Transport;
@@ -15,30 +15,30 @@
     Closed,
 }
 
-/// One connection.
+/// A connection that is being dialed, open or closed.
 pub(super) struct Link {
-    /// The core's id of the connection.
+    /// Id that the session or the documents gave to the connection.
     id: u64,
     token: Token,
     stage: Stage,
-    /// Something was sent or may have arrived since the last poll.
+    /// Whether data was sent or may have arrived since the last poll.
     has_work: bool,
 }
 
-/// What a poll has led to.
+/// The result of a poll.
 pub(super) enum Polled {
-    /// Nothing.
+    /// Nothing happened.
     Nothing,
-    /// The connection with this id is open.
+    /// The dial of the connection with this id succeeded.
     Dialed(u64),
     /// The dial of the connection with this id failed.
     DialFailed(u64),
-    /// The channel was polled; its events were appended.
+    /// The channel of the connection with this id was polled, and its events were appended.
     Events(u64),
 }
 
 impl Link {
-    /// Dials an endpoint; `None` as the address: the settings lack it.
+    /// Begins to dial an endpoint. The address is `None` if the settings lack the endpoint; the dial then fails.
     pub(super) fn dial(
         event_loop: &mut EventLoop,
         address: Option<&SocketAddr>,
@@ -61,12 +61,12 @@
         self.has_work
     }
 
-    /// The event loop reports the socket.
+    /// Records that the event loop has reported the socket as ready.
     pub(super) fn mark_ready(&mut self) {
         self.has_work = true;
     }
 
-    /// Sends on the channel, if the connection is open.
+    /// Calls `send` with the channel if the connection is open.
     pub(super) fn send(&mut self, send: impl FnOnce(&mut Channel<TcpStream>)) {
         if let Stage::Open(channel) = &mut self.stage {
             send(channel);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Does what can be done on the connection now, and appends the channel's events.
+    /// Advances the dial or the channel without blocking, and appends the channel's events.
     pub(super) fn poll(&mut self, max_message_bytes: usize, events: &mut Vec<ChannelEvent>) -> Polled {
         if !std::mem::take(&mut self.has_work) {
             return Polled::Nothing;
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -302,13 +302,13 @@
         w.registry.fault(member, Fault::Lagging(before));
     }
     w.logs("connection lost");
-    w.logs("lags, not accepted");
+    w.logs("lags, its state is not accepted");
     w.ask_for(SECOND / 2);
     w.registry.fault(0, Fault::None);
     w.logs("list taken");
     w.registry.with(|s| s.put(&key("box-1"), b"{\"address\": \"nowhere\"}", 0));
     w.commits.push(Committed { at: Instant::now(), endpoint: "box-1".into(), open: false });
-    let said = w.logs("can't be read, counts as draining");
+    let said = w.logs("is unusable, its endpoint is treated as draining");
     assert!(said.contains("box-1") && said.contains("revision: "), "{said}");
     w.ask_for(SECOND / 4);
     w.settles_on(&["box-2"]);
@@ -370,7 +370,7 @@
     assert!(line.contains("changes: 3000") && line.contains("keys: 3002"), "{line}");
     w.ask_for(SECOND);
     w.judge(SECOND);
-    let harmed = |l: &String| l.contains("no answer") || l.contains("lists again");
+    let harmed = |l: &String| l.contains("ended without a response") || l.contains("reading a new list");
     assert!(!w.log.iter().chain(&w.lines.try_iter().collect::<Vec<_>>()).any(harmed), "{:?}", w.log);
 }
 
@@ -386,8 +386,8 @@
     });
     w.commits.push(Committed { at: Instant::now(), endpoint: "box-0".into(), open: false });
     let from = Instant::now();
-    w.logs("another cluster, not accepted");
-    let line = w.logs("restored or replaced, its list is taken whole");
+    w.logs("another cluster, its state is not accepted");
+    let line = w.logs("restored or replaced, its list replaces the current one");
     assert!(line.contains("0000000000000099"), "{line}");
     w.logs("list taken");
     w.deaf.push((from, Instant::now()));
