--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -197,7 +197,8 @@
         Ok(())
     }
 
-    /// Pins the list to the cluster and revision of its first page, and checks that later pages match them.
+    /// Pins the list to the cluster and revision of its first page, and checks that no later page is older or of
+    /// another cluster.
     fn check_page_header(
         &mut self,
         now: Micros,
--- a/src/registry/session/restore.rs
+++ b/src/registry/session/restore.rs
@@ -1,7 +1,7 @@
 //! Distinguishes a member that lags or belongs to another cluster from a registry that was restored or replaced. A
-//! single member may be wrong; if most endpoints report the same cluster, the registry itself has changed. Members that
-//! report an older revision of the same cluster may still catch up, so the restore is assumed only after they have
-//! reported it for some time.
+//! single member may be wrong; if most endpoints report a state of the same cluster that is not accepted, the registry
+//! itself has changed. Members that report an older revision of the followed cluster may still catch up, so a restore
+//! is assumed only after they have reported an older revision for some time.
 
 use crate::registry::answers::Header;
 use crate::routing::events::Micros;
