--- a/crates/fleet-simulation/src/slopes/list.rs
+++ b/crates/fleet-simulation/src/slopes/list.rs
@@ -204,7 +204,7 @@
             }
             self.step(watch, |s, now, a| s.tick(now, a));
             if !self.session.is_applying_list() {
-                self.now = self.now.max(self.session.next());
+                self.now = self.now.max(self.session.next_due());
             }
         }
     }
@@ -251,7 +251,7 @@
         let (mut f, mut watch) = (followed(n).0, Stopwatch::new());
         let from = f.now;
         while f.now < from + 30 * S {
-            f.now = f.session.next().max(f.now + 1);
+            f.now = f.session.next_due().max(f.now + 1);
             f.step(&mut watch, |s, now, a| s.tick(now, a));
         }
         watch.us() / 30.0
@@ -260,7 +260,7 @@
         let mut f = followed(n).0;
         let (from, went) = (f.now, f.went);
         while f.now < from + 30 * S {
-            f.now = f.session.next().max(f.now + 1);
+            f.now = f.session.next_due().max(f.now + 1);
             f.step(&mut Stopwatch::new(), |s, now, a| s.tick(now, a));
         }
         (f.went - went) as f64 / 30.0
--- a/crates/test-support/src/registry/chaos.rs
+++ b/crates/test-support/src/registry/chaos.rs
@@ -580,7 +580,7 @@
             self.out.current = self.now;
         }
         self.peers[peer].follows = follows;
-        let next = self.peers[peer].session.next().max(self.now + 1);
+        let next = self.peers[peer].session.next_due().max(self.now + 1);
         if next < self.peers[peer].wake {
             self.peers[peer].wake = next;
             self.at(next, Ev::Wake(peer));
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -88,7 +88,7 @@
 
     /// Returns when the next turn is due without further input.
     pub fn next(&self) -> Micros {
-        self.session.next()
+        self.session.next_due()
     }
 
     /// Returns whether the last turn has left work that can be done at once.
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -145,7 +145,7 @@
     }
 
     /// Returns when [`tick`](Self::tick) has something to do, even if no other input arrives.
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         self.state.due(self.settings.silence)
     }
 
@@ -206,7 +206,7 @@
 
     /// Handles the passing of time: does what is due at `now`, if anything.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if now < self.next() {
+        if now < self.next_due() {
             return;
         }
         match &self.state {
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -71,7 +71,7 @@
 
     /// Advances the clock to the session's next due time and returns the resulting actions.
     fn advance(&mut self) -> Vec<Action> {
-        self.now = self.now.max(self.session.next());
+        self.now = self.now.max(self.session.next_due());
         self.session.tick(self.now, &mut self.actions);
         std::mem::take(&mut self.actions)
     }
@@ -773,7 +773,7 @@
                 state.faults += 1;
             }
             Step::Advance => {
-                state.now = now.max(state.session.next());
+                state.now = now.max(state.session.next_due());
                 state.session.tick(state.now, &mut actions);
             }
             Step::Connect(lagging) => {
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -124,7 +124,7 @@
     fn step(&mut self) {
         self.now += self.rng.random_range(0..30) * MS;
         if self.chance(40) {
-            self.now = self.now.max(self.session.next());
+            self.now = self.now.max(self.session.next_due());
         }
         match self.rng.random_range(0..400) {
             0..90 => self.apply_input(|session, now, actions| session.tick(now, actions)),
@@ -271,7 +271,7 @@
         updates.sort_by(|a, b| endpoint_id(a).cmp(endpoint_id(b)));
         updates.iter().for_each(|update| digest_update(&mut self.digest, update));
         let (session, digest) = (&self.session, &mut self.digest);
-        digest.number(session.next());
+        digest.number(session.next_due());
         digest.number(session.revision());
         digest.option(session.confirmed(), Digest::number);
         digest.flag(session.is_watching());
