--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -38,7 +38,7 @@
     fn next(&self) -> Micros {
         match self {
             Driver::Documents(d) => d.next(),
-            Driver::List(d) => d.next(),
+            Driver::List(d) => d.next_due(),
         }
     }
 
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -98,7 +98,7 @@
     fn schedule_registry(&mut self) -> Option<Micros> {
         let registry = self.registry.as_ref()?;
         self.has_more = registry.wants_turn() || self.membership.has_changes();
-        let next = registry.next();
+        let next = registry.next_due();
         if self.has_more || self.registry_timer.is_some_and(|set| next >= set) {
             return None;
         }
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns when the next turn is due without further input.
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         self.session.next_due()
     }
 
