--- a/crates/fleet-simulation/src/slopes/list.rs
+++ b/crates/fleet-simulation/src/slopes/list.rs
@@ -7,7 +7,7 @@
 use crate::capacity::{Per, Quantity, Role, Row};
 use larchdale::config::product::Registry as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
-use larchdale::registry::answers::Reader;
+use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, RangeResponse, WatchResponse};
 use larchdale::registry::record::{Names, State, StoredRecord};
@@ -54,7 +54,7 @@
 /// One instance's session and list beside a store.
 struct Follower {
     store: Store,
-    reader: Reader,
+    reader: Decoder,
     session: Session,
     list: EndpointList,
     now: u64,
@@ -79,7 +79,7 @@
         }
         let settings = Settings::new(vec![SocketAddr::from(([127, 0, 0, 1], 9))], PREFIX);
         let reader =
-            Reader { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.most_value };
+            Decoder { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.most_value };
         let now = 1_000 * S;
         let (session, list) = (Session::new(settings, 7, now), EndpointList::new(65_536));
         Follower { store, reader, session, list, now, watch: None, came: (0, 0), went: 0 }
--- a/crates/test-support/src/registry/chaos.rs
+++ b/crates/test-support/src/registry/chaos.rs
@@ -4,7 +4,7 @@
 use super::store::{Refused, Store};
 use larchdale::config::product::Registry as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
-use larchdale::registry::answers::Reader;
+use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, WatchResponse};
 use larchdale::registry::record::{Names, State, StoredRecord};
@@ -146,7 +146,7 @@
     peers: Vec<Peer>,
     words: Vec<Word>,
     ids: Vec<String>,
-    reader: Reader,
+    reader: Decoder,
     plan: Plan,
     end: u64,
     out: Outcome,
@@ -168,7 +168,7 @@
 /// Plays one plan to its end.
 pub fn run(plan: &Plan) -> Outcome {
     let names = Names { kinds: vec!["box".to_owned()], zones: vec!["here".to_owned()] };
-    let reader = Reader { prefix: PREFIX.to_owned(), names, max_value_bytes: 4096 };
+    let reader = Decoder { prefix: PREFIX.to_owned(), names, max_value_bytes: 4096 };
     let mut rng = Pcg32::seed_from_u64(plan.seed);
     let peer = |n: usize| Peer {
         session: Session::new(settings(), plan.seed.wrapping_mul(31) + n as u64, S),
--- a/src/registry/answers.rs
+++ b/src/registry/answers.rs
@@ -165,7 +165,7 @@
 
 /// Decodes responses about the keys below a prefix.
 #[derive(Clone, Debug)]
-pub struct Reader {
+pub struct Decoder {
     /// Prefix of all keys.
     pub prefix: String,
     /// Names of kinds and zones.
@@ -174,7 +174,7 @@
     pub max_value_bytes: usize,
 }
 
-impl Reader {
+impl Decoder {
     /// Decodes a page; `from` is the first requested key.
     ///
     /// # Errors
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -1,7 +1,7 @@
 //! Connects the session to the event loop: performs the session's actions on the connection, passes responses to the
 //! session, writes the snapshot to disk, and logs notices. All decisions are the session's. The proxy owns the driver.
 
-use super::answers::Reader;
+use super::answers::Decoder;
 use super::grpc::ChannelEvent;
 use super::keys::range_end;
 use super::link::{Link, Polled};
@@ -50,7 +50,7 @@
 pub struct Driver {
     log: Logger,
     settings: Settings,
-    reader: Reader,
+    reader: Decoder,
     session: Session,
     link: Option<Link>,
     calls: OpenCalls,
@@ -64,7 +64,7 @@
     /// Creates a driver that may dial at once and starts with the snapshot, if a usable one exists.
     pub fn new(settings: Settings, names: Names, seed: u64, now: Micros, log: Logger) -> Self {
         let prefix = settings.prefix.clone();
-        let reader = Reader { prefix, names, max_value_bytes: settings.most_value };
+        let reader = Decoder { prefix, names, max_value_bytes: settings.most_value };
         let mut session = Session::new(settings.clone(), seed, now);
         let snapshots = resume_from_snapshot(&settings, &reader, &mut session, now, &log);
         Driver {
@@ -365,7 +365,7 @@
 /// `None` if the settings name no folder for snapshots or the thread can't be started.
 fn resume_from_snapshot(
     settings: &Settings,
-    reader: &Reader,
+    reader: &Decoder,
     session: &mut Session,
     now: Micros,
     log: &Logger,
--- a/src/registry/snapshot.rs
+++ b/src/registry/snapshot.rs
@@ -6,7 +6,7 @@
 //! "larchlst"  version:4  length:8  crc32:4  body: a protobuf message        (lengths in bytes, numbers big-endian)
 //! ```
 
-use super::answers::{KeyEntry, Reader};
+use super::answers::{Decoder, KeyEntry};
 use super::keys::id_of;
 use super::messages::KeyValue;
 use super::session::SavedList;
@@ -125,7 +125,7 @@
 }
 
 /// Encodes a list as the contents of a snapshot file. Keys with unusable records are omitted.
-pub fn encode(list: &SavedList, reader: &Reader) -> Vec<u8> {
+pub fn encode(list: &SavedList, reader: &Decoder) -> Vec<u8> {
     let body = Body {
         cluster: list.cluster,
         revision: list.revision,
@@ -142,7 +142,7 @@
     bytes
 }
 
-fn stored_key(entry: &KeyEntry, reader: &Reader) -> Option<KeyValue> {
+fn stored_key(entry: &KeyEntry, reader: &Decoder) -> Option<KeyValue> {
     let record = reader.names.stored(entry.endpoint.as_ref().ok()?)?;
     Some(KeyValue {
         key: entry.key.to_vec(),
@@ -157,7 +157,7 @@
 ///
 /// # Errors
 /// The bytes are not a list for this prefix with at most `max_keys` keys.
-pub fn decode(bytes: &[u8], reader: &Reader, max_keys: usize) -> Result<SavedList, FormatError> {
+pub fn decode(bytes: &[u8], reader: &Decoder, max_keys: usize) -> Result<SavedList, FormatError> {
     let body = Body::decode(checked_body(bytes)?)?;
     if body.prefix != reader.prefix {
         return Err(FormatError::OtherPrefix(body.prefix));
@@ -196,7 +196,7 @@
     Ok(body)
 }
 
-fn loaded_entry(kv: KeyValue, reader: &Reader) -> Option<KeyEntry> {
+fn loaded_entry(kv: KeyValue, reader: &Decoder) -> Option<KeyEntry> {
     let id = id_of(&kv.key, &reader.prefix)?;
     let endpoint = reader.names.read(&kv.value, reader.max_value_bytes).ok()?;
     Some(KeyEntry {
@@ -212,7 +212,7 @@
 ///
 /// # Errors
 /// The file can't be read, or its contents are unusable.
-pub fn load(folder: &Path, reader: &Reader, max_keys: usize) -> Result<SavedList, SnapshotError> {
+pub fn load(folder: &Path, reader: &Decoder, max_keys: usize) -> Result<SavedList, SnapshotError> {
     let path = folder.join(FILE_NAME);
     let bytes = match read_bounded(&path) {
         Ok(bytes) => bytes,
@@ -260,7 +260,7 @@
     ///
     /// # Errors
     /// The folder or the thread could not be created.
-    pub fn start(folder: PathBuf, reader: Reader) -> io::Result<Self> {
+    pub fn start(folder: PathBuf, reader: Decoder) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
         // At most one list waits: while the disk is slow, the caller has to retry with a newer list later.
         let (lists, received) = sync_channel::<SavedList>(1);
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -1,6 +1,6 @@
 //! The decoders of records, responses and snapshot files, with valid, random and damaged input.
 
-use super::answers::{Event, Reader};
+use super::answers::{Decoder, Event};
 use super::keys::{id_of, range_end};
 use super::messages::{Event as WireEvent, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
 use super::record::{Names, State};
@@ -13,9 +13,9 @@
 const VALID_RECORD: &str =
     r#"{"address": "127.0.0.1:9", "kind": "box", "zone": "a", "state": "draining", "later": [1]}"#;
 
-fn test_reader() -> Reader {
+fn test_reader() -> Decoder {
     let names = Names { kinds: vec!["hub".into(), "box".into()], zones: vec!["a".into()] };
-    Reader { prefix: "/d/".to_owned(), names, max_value_bytes: 200 }
+    Decoder { prefix: "/d/".to_owned(), names, max_value_bytes: 200 }
 }
 
 fn kv(key: &str, value: &str, modified: i64) -> KeyValue {
@@ -115,14 +115,14 @@
         damaged[offset] ^= 0x41;
         assert!(snapshot::decode(&damaged, &reader, 9).is_err(), "damaged at {offset}");
     }
-    let error = |bytes: &[u8], reader: &Reader, max_keys| {
+    let error = |bytes: &[u8], reader: &Decoder, max_keys| {
         snapshot::decode(bytes, reader, max_keys).unwrap_err().to_string()
     };
     let mut newer_version = bytes.clone();
     newer_version[11] = 2;
     assert!(error(&newer_version, &reader, 9).contains("has format version 2"));
     assert!(error(b"#!/bin/sh, and more than a head has", &reader, 9).contains("not a snapshot"));
-    assert!(error(&bytes, &Reader { prefix: "/e/".into(), ..test_reader() }, 9).contains("prefix '/d/'"));
+    assert!(error(&bytes, &Decoder { prefix: "/e/".into(), ..test_reader() }, 9).contains("prefix '/d/'"));
     assert!(error(&bytes, &reader, 1).contains("2 keys, at most 1 are allowed"));
 }
 
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -3,7 +3,7 @@
 
 use crate::digest::{expect, Digest};
 use larchdale::config::product::Registry as Settings;
-use larchdale::registry::answers::{KeyEntry, MessageError, Reader};
+use larchdale::registry::answers::{Decoder, KeyEntry, MessageError};
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, WatchResponse};
 use larchdale::registry::record::{Names, State};
@@ -52,12 +52,12 @@
     Settings { page, most_keys: 24, ..Settings::new(endpoints, PREFIX) }
 }
 
-fn reader() -> Reader {
+fn reader() -> Decoder {
     let names = Names {
         kinds: vec!["hub".to_owned(), "box".to_owned()],
         zones: vec!["a".to_owned(), "b".to_owned()],
     };
-    Reader { prefix: PREFIX.to_owned(), names, max_value_bytes: 300 }
+    Decoder { prefix: PREFIX.to_owned(), names, max_value_bytes: 300 }
 }
 
 impl Run {
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -11,7 +11,7 @@
 use larchdale::placement::map::{Shard, ShardMap};
 use larchdale::placement::moves::{Change, Move, Moves, RestingShard, Step};
 use larchdale::purges::{log, Cover};
-use larchdale::registry::answers::{KeyEntry, Reader};
+use larchdale::registry::answers::{Decoder, KeyEntry};
 use larchdale::registry::record::{EndpointRecord, Names, State};
 use larchdale::registry::session::SavedList;
 use larchdale::registry::snapshot;
@@ -46,8 +46,8 @@
 
 // ---- the list of endpoints ----
 
-fn endpoint_reader() -> Reader {
-    Reader {
+fn endpoint_reader() -> Decoder {
+    Decoder {
         prefix: "/larchdale/depots/".to_owned(),
         names: Names {
             kinds: vec!["small-box".to_owned(), "parent".to_owned()],
