--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -50,7 +50,7 @@
 pub struct Driver {
     log: Logger,
     settings: Settings,
-    reader: Decoder,
+    decoder: Decoder,
     session: Session,
     link: Option<Link>,
     calls: OpenCalls,
@@ -64,13 +64,13 @@
     /// Creates a driver that may dial at once and starts with the snapshot, if a usable one exists.
     pub fn new(settings: Settings, names: Names, seed: u64, now: Micros, log: Logger) -> Self {
         let prefix = settings.prefix.clone();
-        let reader = Decoder { prefix, names, max_value_bytes: settings.most_value };
+        let decoder = Decoder { prefix, names, max_value_bytes: settings.most_value };
         let mut session = Session::new(settings.clone(), seed, now);
-        let snapshots = resume_from_snapshot(&settings, &reader, &mut session, now, &log);
+        let snapshots = resume_from_snapshot(&settings, &decoder, &mut session, now, &log);
         Driver {
             log,
             settings,
-            reader,
+            decoder,
             session,
             link: None,
             calls: OpenCalls::default(),
@@ -194,8 +194,8 @@
     /// Returns a request for all keys below the prefix.
     fn range(&self) -> RangeRequest {
         RangeRequest {
-            key: self.reader.prefix.clone().into_bytes(),
-            range_end: range_end(self.reader.prefix.as_bytes()),
+            key: self.decoder.prefix.clone().into_bytes(),
+            range_end: range_end(self.decoder.prefix.as_bytes()),
             ..RangeRequest::default()
         }
     }
@@ -208,8 +208,8 @@
 
     fn create_watch(&mut self, watch: i64, revision: u64) {
         let create = WatchCreateRequest {
-            key: self.reader.prefix.clone().into_bytes(),
-            range_end: range_end(self.reader.prefix.as_bytes()),
+            key: self.decoder.prefix.clone().into_bytes(),
+            range_end: range_end(self.decoder.prefix.as_bytes()),
             start_revision: revision as i64,
             watch_id: watch,
             fragment: true,
@@ -258,7 +258,7 @@
     fn handle_event(&mut self, now: Micros, connection: u64, event: ChannelEvent) {
         match event {
             ChannelEvent::Message { call, bytes } if self.calls.watch == Some(call) => {
-                match self.reader.decode_watch_message(bytes) {
+                match self.decoder.decode_watch_message(bytes) {
                     Ok(message) => self.session.watch_message(now, message, &mut self.actions),
                     Err(error) => self.session.invalid_message(now, error, &mut self.actions),
                 }
@@ -285,8 +285,8 @@
     fn range_received(&mut self, now: Micros, call: u64, bytes: Bytes) {
         self.calls.answered = call;
         let page_call = self.calls.page.take_if(|(page_call, _)| *page_call == call);
-        let from = page_call.as_ref().map_or(self.reader.prefix.as_bytes(), |(_, from)| from);
-        match self.reader.decode_page(bytes, from) {
+        let from = page_call.as_ref().map_or(self.decoder.prefix.as_bytes(), |(_, from)| from);
+        match self.decoder.decode_page(bytes, from) {
             Ok(page) if page_call.is_some() => {
                 self.session.page_received(now, call, page, &mut self.actions);
             }
@@ -365,13 +365,13 @@
 /// `None` if the settings name no folder for snapshots or the thread can't be started.
 fn resume_from_snapshot(
     settings: &Settings,
-    reader: &Decoder,
+    decoder: &Decoder,
     session: &mut Session,
     now: Micros,
     log: &Logger,
 ) -> Option<Snapshots> {
     let folder = settings.snapshot.as_ref()?;
-    match snapshot::load(folder, reader, settings.most_keys) {
+    match snapshot::load(folder, decoder, settings.most_keys) {
         Ok(list) => {
             info!(log, "registry: starting from the snapshot"; "revision" => list.revision,
                   "depots" => list.entries.len());
@@ -379,7 +379,7 @@
         }
         Err(error) => warn!(log, "registry: starting without a snapshot"; "why" => %error),
     }
-    match snapshot::Saver::start(folder.clone(), reader.clone()) {
+    match snapshot::Saver::start(folder.clone(), decoder.clone()) {
         Ok(saver) => Some(Snapshots { saver, saved_revision: 0, saved_at: now }),
         Err(error) => {
             warn!(log, "registry: can't write snapshots"; "why" => %error);
--- a/src/registry/snapshot.rs
+++ b/src/registry/snapshot.rs
@@ -125,12 +125,12 @@
 }
 
 /// Encodes a list as the contents of a snapshot file. Keys with unusable records are omitted.
-pub fn encode(list: &SavedList, reader: &Decoder) -> Vec<u8> {
+pub fn encode(list: &SavedList, decoder: &Decoder) -> Vec<u8> {
     let body = Body {
         cluster: list.cluster,
         revision: list.revision,
-        prefix: reader.prefix.clone(),
-        keys: list.entries.iter().filter_map(|entry| stored_key(entry, reader)).collect(),
+        prefix: decoder.prefix.clone(),
+        keys: list.entries.iter().filter_map(|entry| stored_key(entry, decoder)).collect(),
     };
     let body = body.encode_to_vec();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -142,8 +142,8 @@
     bytes
 }
 
-fn stored_key(entry: &KeyEntry, reader: &Decoder) -> Option<KeyValue> {
-    let record = reader.names.stored(entry.endpoint.as_ref().ok()?)?;
+fn stored_key(entry: &KeyEntry, decoder: &Decoder) -> Option<KeyValue> {
+    let record = decoder.names.stored(entry.endpoint.as_ref().ok()?)?;
     Some(KeyValue {
         key: entry.key.to_vec(),
         create_revision: entry.create_revision as i64,
@@ -157,15 +157,15 @@
 ///
 /// # Errors
 /// The bytes are not a list for this prefix with at most `max_keys` keys.
-pub fn decode(bytes: &[u8], reader: &Decoder, max_keys: usize) -> Result<SavedList, FormatError> {
+pub fn decode(bytes: &[u8], decoder: &Decoder, max_keys: usize) -> Result<SavedList, FormatError> {
     let body = Body::decode(checked_body(bytes)?)?;
-    if body.prefix != reader.prefix {
+    if body.prefix != decoder.prefix {
         return Err(FormatError::OtherPrefix(body.prefix));
     }
     if body.keys.len() > max_keys {
         return Err(FormatError::TooManyKeys { keys: body.keys.len(), max_keys });
     }
-    let entries = body.keys.into_iter().filter_map(|kv| loaded_entry(kv, reader)).collect();
+    let entries = body.keys.into_iter().filter_map(|kv| loaded_entry(kv, decoder)).collect();
     Ok(SavedList { cluster: body.cluster, revision: body.revision, entries })
 }
 
@@ -196,9 +196,9 @@
     Ok(body)
 }
 
-fn loaded_entry(kv: KeyValue, reader: &Decoder) -> Option<KeyEntry> {
-    let id = id_of(&kv.key, &reader.prefix)?;
-    let endpoint = reader.names.read(&kv.value, reader.max_value_bytes).ok()?;
+fn loaded_entry(kv: KeyValue, decoder: &Decoder) -> Option<KeyEntry> {
+    let id = id_of(&kv.key, &decoder.prefix)?;
+    let endpoint = decoder.names.read(&kv.value, decoder.max_value_bytes).ok()?;
     Some(KeyEntry {
         id: Some(id),
         key: kv.key.into(),
@@ -212,7 +212,7 @@
 ///
 /// # Errors
 /// The file can't be read, or its contents are unusable.
-pub fn load(folder: &Path, reader: &Decoder, max_keys: usize) -> Result<SavedList, SnapshotError> {
+pub fn load(folder: &Path, decoder: &Decoder, max_keys: usize) -> Result<SavedList, SnapshotError> {
     let path = folder.join(FILE_NAME);
     let bytes = match read_bounded(&path) {
         Ok(bytes) => bytes,
@@ -221,7 +221,7 @@
     let list = if bytes.len() as u64 > MAX_FILE_BYTES {
         Err(FormatError::TooLarge)
     } else {
-        decode(&bytes, reader, max_keys)
+        decode(&bytes, decoder, max_keys)
     };
     list.map_err(|source| SnapshotError::Unusable { path, source })
 }
@@ -260,14 +260,14 @@
     ///
     /// # Errors
     /// The folder or the thread could not be created.
-    pub fn start(folder: PathBuf, reader: Decoder) -> io::Result<Self> {
+    pub fn start(folder: PathBuf, decoder: Decoder) -> io::Result<Self> {
         fs::create_dir_all(&folder)?;
         // At most one list waits: while the disk is slow, the caller has to retry with a newer list later.
         let (lists, received) = sync_channel::<SavedList>(1);
         let (error_sender, errors) = sync_channel(1);
         std::thread::Builder::new().name("snapshot".to_owned()).spawn(move || {
             for list in received {
-                if let Err(error) = store(&folder, &encode(&list, &reader)) {
+                if let Err(error) = store(&folder, &encode(&list, &decoder)) {
                     // The channel is full only if an earlier error was not read yet; one report is enough.
                     let _ = error_sender.try_send(error);
                 }
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -13,7 +13,7 @@
 const VALID_RECORD: &str =
     r#"{"address": "127.0.0.1:9", "kind": "box", "zone": "a", "state": "draining", "later": [1]}"#;
 
-fn test_reader() -> Decoder {
+fn test_decoder() -> Decoder {
     let names = Names { kinds: vec!["hub".into(), "box".into()], zones: vec!["a".into()] };
     Decoder { prefix: "/d/".to_owned(), names, max_value_bytes: 200 }
 }
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_valid_record_is_decoded_and_an_invalid_one_is_rejected_with_the_reason() {
-    let names = test_reader().names;
+    let names = test_decoder().names;
     let endpoint = names.read(VALID_RECORD.as_bytes(), 200).unwrap();
     assert_eq!((endpoint.kind, endpoint.zone, endpoint.state, endpoint.weight), (1, 0, State::Draining, 1.0));
     for (invalid, reason) in [
@@ -61,8 +61,8 @@
 
 #[test]
 fn an_unusable_record_affects_only_its_key_and_an_invalid_key_or_revision_rejects_the_page() {
-    let reader = test_reader();
-    let decoded = reader
+    let decoder = test_decoder();
+    let decoded = decoder
         .page(
             &page(vec![kv("/d/a", "noise", 4), kv("/d/b", VALID_RECORD, 5), kv("/d/x y", VALID_RECORD, 6)]),
             b"/d/",
@@ -79,23 +79,23 @@
         vec![kv("/d/a", VALID_RECORD, 1)],
         vec![kv("/d/a", VALID_RECORD, -4)],
     ] {
-        assert!(reader.page(&page(kvs), b"/d/").is_err());
+        assert!(decoder.page(&page(kvs), b"/d/").is_err());
     }
     assert!(
-        reader.page(&page(vec![kv("/d/a", VALID_RECORD, 4)]), b"/d/b").is_err(),
+        decoder.page(&page(vec![kv("/d/a", VALID_RECORD, 4)]), b"/d/b").is_err(),
         "a key before the requested range"
     );
     let delete = WireEvent { kind: 1, kv: Some(kv("/d/a", "", 8)), prev_kv: None };
     let response =
         WatchResponse { header: page(vec![]).header, events: vec![delete], ..WatchResponse::default() };
     assert!(
-        matches!(&reader.watch_message(&response).unwrap().events[0], Event::Delete { key, revision: 8 } if **key == *b"/d/a")
+        matches!(&decoder.watch_message(&response).unwrap().events[0], Event::Delete { key, revision: 8 } if **key == *b"/d/a")
     );
-    assert!(reader.watch_message(&WatchResponse::default()).is_err(), "no header");
+    assert!(decoder.watch_message(&WatchResponse::default()).is_err(), "no header");
 }
 
 fn saved_list() -> SavedList {
-    let entries = test_reader()
+    let entries = test_decoder()
         .page(&page(vec![kv("/d/a", VALID_RECORD, 4), kv("/d/b", VALID_RECORD, 5)]), b"/d/")
         .unwrap()
         .entries;
@@ -104,38 +104,38 @@
 
 #[test]
 fn a_snapshot_decodes_to_the_saved_list_and_a_damaged_one_is_rejected_with_the_reason() {
-    let reader = test_reader();
-    let bytes = snapshot::encode(&saved_list(), &reader);
-    assert_eq!(snapshot::decode(&bytes, &reader, 9), Ok(saved_list()));
+    let decoder = test_decoder();
+    let bytes = snapshot::encode(&saved_list(), &decoder);
+    assert_eq!(snapshot::decode(&bytes, &decoder, 9), Ok(saved_list()));
     for length in 0..bytes.len() {
-        assert!(snapshot::decode(&bytes[..length], &reader, 9).is_err(), "truncated to {length} bytes");
+        assert!(snapshot::decode(&bytes[..length], &decoder, 9).is_err(), "truncated to {length} bytes");
     }
     for offset in 0..bytes.len() {
         let mut damaged = bytes.clone();
         damaged[offset] ^= 0x41;
-        assert!(snapshot::decode(&damaged, &reader, 9).is_err(), "damaged at {offset}");
+        assert!(snapshot::decode(&damaged, &decoder, 9).is_err(), "damaged at {offset}");
     }
-    let error = |bytes: &[u8], reader: &Decoder, max_keys| {
-        snapshot::decode(bytes, reader, max_keys).unwrap_err().to_string()
+    let error = |bytes: &[u8], decoder: &Decoder, max_keys| {
+        snapshot::decode(bytes, decoder, max_keys).unwrap_err().to_string()
     };
     let mut newer_version = bytes.clone();
     newer_version[11] = 2;
-    assert!(error(&newer_version, &reader, 9).contains("has format version 2"));
-    assert!(error(b"#!/bin/sh, and more than a head has", &reader, 9).contains("not a snapshot"));
-    assert!(error(&bytes, &Decoder { prefix: "/e/".into(), ..test_reader() }, 9).contains("prefix '/d/'"));
-    assert!(error(&bytes, &reader, 1).contains("2 keys, at most 1 are allowed"));
+    assert!(error(&newer_version, &decoder, 9).contains("has format version 2"));
+    assert!(error(b"#!/bin/sh, and more than a head has", &decoder, 9).contains("not a snapshot"));
+    assert!(error(&bytes, &Decoder { prefix: "/e/".into(), ..test_decoder() }, 9).contains("prefix '/d/'"));
+    assert!(error(&bytes, &decoder, 1).contains("2 keys, at most 1 are allowed"));
 }
 
 #[test]
 fn the_previous_snapshot_is_loaded_when_writing_a_new_one_was_interrupted() {
     let folder = std::env::temp_dir().join(format!("larchdale-snapshot-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let reader = test_reader();
-    assert!(snapshot::load(&folder, &reader, 9).unwrap_err().to_string().contains("can't read"));
-    snapshot::store(&folder, &snapshot::encode(&saved_list(), &reader)).unwrap();
+    let decoder = test_decoder();
+    assert!(snapshot::load(&folder, &decoder, 9).unwrap_err().to_string().contains("can't read"));
+    snapshot::store(&folder, &snapshot::encode(&saved_list(), &decoder)).unwrap();
     // The temporary file that a crash leaves behind while the next snapshot is written.
     std::fs::write(folder.join("depots.list.new"), b"larchlst").unwrap();
-    assert_eq!(snapshot::load(&folder, &reader, 9).unwrap(), saved_list());
+    assert_eq!(snapshot::load(&folder, &decoder, 9).unwrap(), saved_list());
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -143,11 +143,11 @@
     #![proptest_config(config())]
     #[test]
     fn random_bytes_and_texts_are_decoded_without_panic(random_bytes in prop::collection::vec(any::<u8>(), 0..300), text in ".{0,120}") {
-        let reader = test_reader();
-        let _ = RangeResponse::decode(&random_bytes[..]).map(|response| reader.page(&response, b"/d/"));
-        let _ = WatchResponse::decode(&random_bytes[..]).map(|response| reader.watch_message(&response));
-        let _ = reader.names.read(&random_bytes, 4096);
-        let _ = reader.names.read(text.as_bytes(), 4096);
-        prop_assert!(snapshot::decode(&random_bytes, &reader, 9).is_err());
+        let decoder = test_decoder();
+        let _ = RangeResponse::decode(&random_bytes[..]).map(|response| decoder.page(&response, b"/d/"));
+        let _ = WatchResponse::decode(&random_bytes[..]).map(|response| decoder.watch_message(&response));
+        let _ = decoder.names.read(&random_bytes, 4096);
+        let _ = decoder.names.read(text.as_bytes(), 4096);
+        prop_assert!(snapshot::decode(&random_bytes, &decoder, 9).is_err());
     }
 }
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -52,7 +52,7 @@
     Settings { page, most_keys: 24, ..Settings::new(endpoints, PREFIX) }
 }
 
-fn reader() -> Decoder {
+fn decoder() -> Decoder {
     let names = Names {
         kinds: vec!["hub".to_owned(), "box".to_owned()],
         zones: vec!["a".to_owned(), "b".to_owned()],
@@ -198,7 +198,7 @@
             }
             Some(PendingRequest::Range { call, request }) => match self.store.range(&request, 1, applied) {
                 Ok(response) => {
-                    let page = reader().page(&response, &request.key).unwrap();
+                    let page = decoder().page(&response, &request.key).unwrap();
                     self.apply_input(|session, now, actions| match request.count_only {
                         true => session.count_received(now, call, page.header, page.count, actions),
                         false => session.page_received(now, call, page, actions),
@@ -254,7 +254,7 @@
     }
 
     fn send_watch_message(&mut self, response: WatchResponse) {
-        let message = reader().watch_message(&response).unwrap();
+        let message = decoder().watch_message(&response).unwrap();
         self.apply_input(|session, now, actions| session.watch_message(now, message, actions));
     }
 
