--- a/src/cli/registry/commands.rs
+++ b/src/cli/registry/commands.rs
@@ -4,7 +4,7 @@
 use super::{Client, Command, PutOptions};
 use crate::cli::error::CommandError;
 use crate::registry::grpc::ChannelEvent;
-use crate::registry::keys::{is_plain, key_after, range_end};
+use crate::registry::keys::{is_valid_id, key_after, range_end};
 use crate::registry::messages::{
     path, request_op, watch_request, DeleteRangeRequest, Event, LeaseGrantRequest, LeaseGrantResponse,
     PutRequest, RangeRequest, RangeResponse, WatchCreateRequest, WatchRequest, WatchResponse,
@@ -29,7 +29,7 @@
 }
 
 fn key_of(prefix: &str, id: &str) -> Result<Vec<u8>, CommandError> {
-    if !is_plain(id) {
+    if !is_valid_id(id) {
         return Err(CommandError::InvalidId(id.to_owned()));
     }
     Ok(format!("{prefix}{id}").into_bytes())
--- a/src/registry/keys.rs
+++ b/src/registry/keys.rs
@@ -5,17 +5,17 @@
 /// Maximum length of an id, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// Returns the id in a key, which is the part after the prefix; `None` if that part is not a plain id (see
-/// [`is_plain`]). Ids are used in other protocols too, so other characters are not accepted.
+/// Returns the id in a key, which is the part after the prefix; `None` if that part is not a valid id (see
+/// [`is_valid_id`]). Ids are used in other protocols too, so other characters are not accepted.
 pub fn id_of(key: &[u8], prefix: &str) -> Option<Id> {
     let id = std::str::from_utf8(key.strip_prefix(prefix.as_bytes())?).ok()?;
-    is_plain(id).then(|| id.into())
+    is_valid_id(id).then(|| id.into())
 }
 
 /// Returns whether an id consists of 1 to 64 ASCII letters, digits and `. _ : -`.
-pub fn is_plain(id: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
-    (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(plain)
+pub fn is_valid_id(id: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
+    (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(allowed)
 }
 
 /// Returns the exclusive end of the range of keys that begin with a prefix. If no key can follow that range, returns a
