--- a/src/registry/answers.rs
+++ b/src/registry/answers.rs
@@ -234,7 +234,7 @@
         }
         let id = id_of(&kv.key, &self.prefix);
         let endpoint = match id {
-            Some(_) => self.names.read(&kv.value, self.max_value_bytes).map(Arc::new),
+            Some(_) => self.names.decode(&kv.value, self.max_value_bytes).map(Arc::new),
             None => Err(RecordError::InvalidId),
         };
         let key = kv.key.as_slice().into();
--- a/src/registry/record.rs
+++ b/src/registry/record.rs
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// The value is too long, is not a record, has an invalid weight, or names a kind or zone that the settings lack.
-    pub fn read(&self, value: &[u8], max_bytes: usize) -> Result<EndpointRecord, RecordError> {
+    pub fn decode(&self, value: &[u8], max_bytes: usize) -> Result<EndpointRecord, RecordError> {
         if value.len() > max_bytes {
             return Err(RecordError::TooLong { bytes: value.len(), max_bytes });
         }
--- a/src/registry/snapshot.rs
+++ b/src/registry/snapshot.rs
@@ -198,7 +198,7 @@
 
 fn loaded_entry(kv: KeyValue, decoder: &Decoder) -> Option<KeyEntry> {
     let id = id_of(&kv.key, &decoder.prefix)?;
-    let endpoint = decoder.names.read(&kv.value, decoder.max_value_bytes).ok()?;
+    let endpoint = decoder.names.decode(&kv.value, decoder.max_value_bytes).ok()?;
     Some(KeyEntry {
         id: Some(id),
         key: kv.key.into(),
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_valid_record_is_decoded_and_an_invalid_one_is_rejected_with_the_reason() {
     let names = test_decoder().names;
-    let endpoint = names.read(VALID_RECORD.as_bytes(), 200).unwrap();
+    let endpoint = names.decode(VALID_RECORD.as_bytes(), 200).unwrap();
     assert_eq!((endpoint.kind, endpoint.zone, endpoint.state, endpoint.weight), (1, 0, State::Draining, 1.0));
     for (invalid, reason) in [
         (VALID_RECORD.replace("\"box\"", "\"barrel\""), "kind 'barrel' is not in the settings (hub, box)"),
@@ -42,7 +42,7 @@
         (format!("{VALID_RECORD}{}", " ".repeat(200)), "has 289 bytes, at most 200 are allowed"),
         (String::new(), "EOF"),
     ] {
-        let message = names.read(invalid.as_bytes(), 200).unwrap_err().to_string();
+        let message = names.decode(invalid.as_bytes(), 200).unwrap_err().to_string();
         assert!(message.contains(reason), "{invalid}: {message}");
     }
 }
@@ -146,8 +146,8 @@
         let decoder = test_decoder();
         let _ = RangeResponse::decode(&random_bytes[..]).map(|response| decoder.page(&response, b"/d/"));
         let _ = WatchResponse::decode(&random_bytes[..]).map(|response| decoder.watch_message(&response));
-        let _ = decoder.names.read(&random_bytes, 4096);
-        let _ = decoder.names.read(text.as_bytes(), 4096);
+        let _ = decoder.names.decode(&random_bytes, 4096);
+        let _ = decoder.names.decode(text.as_bytes(), 4096);
         prop_assert!(snapshot::decode(&random_bytes, &decoder, 9).is_err());
     }
 }
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -115,7 +115,7 @@
     let text = same_as_stored("stored/depot-record.json", &serde_json::to_vec(&record).unwrap());
     assert_eq!(serde_json::from_slice::<StoredRecord>(&text).unwrap(), record);
     assert_eq!(
-        endpoint_reader().names.read(&text, 4_096).unwrap(),
+        endpoint_reader().names.decode(&text, 4_096).unwrap(),
         *endpoints().entries[0].endpoint.clone().unwrap()
     );
     let least = br#"{"address":"10.1.0.9:9101","kind":"parent","zone":"branch","state":"ready","later":1}"#;
