--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -42,8 +42,8 @@
 struct InvalidObject(String);
 
 fn parse_object(text: &str) -> Result<u64, InvalidObject> {
-    let is_valid_id = text.len() <= MAX_OBJECT_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let object = is_valid_id.then(|| u64::from_str_radix(text, 16).ok()).flatten();
+    let is_plain = text.len() <= MAX_OBJECT_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let object = is_plain.then(|| u64::from_str_radix(text, 16).ok()).flatten();
     object.ok_or_else(|| InvalidObject(text.to_owned()))
 }
 
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn only_plain_ids_are_accepted_and_a_range_ends_after_the_last_key_of_its_prefix() {
+fn only_valid_ids_are_accepted_and_a_range_ends_after_the_last_key_of_its_prefix() {
     assert_eq!(id_of(b"/d/box-1", "/d/").as_deref(), Some("box-1"));
     for key in [&b"/d/"[..], b"/d/a,b", b"/d/a/b", b"/e/a", b"/d/\xff"] {
         assert_eq!(id_of(key, "/d/"), None);
