--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,17 +1,20 @@
-//! The moves, splits and merges of one zone, one at a time, as transactions on its two documents.
+//! State machine that carries out the moves, splits and merges of one zone, one at a time, as transactions on the zone's
+//! map and plan of moves.
 //!
-//! Every instance has a [`Planner`] for each zone; `proxy::rebalancing` steps it while the instance holds the planner's
+//! Every instance has a [`Planner`] for each zone. `proxy::rebalancing` steps it while the instance holds the planner's
 //! lease, and sends its transactions to the registry.
 //!
 //! ```text
 //! Planned --epoch e--> Warming --epoch e+1--> Cutover --> completed (entry gone, shard rests)
 //!    |                    |
-//!    dropped              rolled back with epoch e+1: window ends, a site does not serve, clock steps, an endpoint goes
+//!    dropped              rolled back with epoch e+1: window ends, a site does not serve, the clock steps, or an
+//!                         endpoint is drained or removed
 //! ```
 //!
-//! All that a successor needs is in the documents, and each transaction compares the revisions of both. So whatever
-//! two planners, lost answers and late ones do, a change is made from exactly the state that it was decided on, or not
-//! at all. After an answer that is unknown or a rejection nothing is decided before both documents are read again.
+//! The documents hold the whole state that the next planner needs, and each transaction compares the revisions of both.
+//! A transaction therefore applies to exactly the state it was decided on or not at all, even with two active planners
+//! and with lost or late replies. After a rejected transaction or an unknown result, the planner reads both documents
+//! again before it decides anything.
 
 mod clock;
 mod input;
@@ -30,20 +33,20 @@
 use crate::invariant;
 use crate::routing::events::Micros;
 
-/// How long a shard rests after a move, or after one that was rolled back, in milliseconds: a day.
+/// Time for which a shard does not move again after a completed or rolled-back move, in milliseconds: one day.
 pub const REST_MS: u64 = 86_400_000;
-/// A window without an end counts as a new one after so long, in milliseconds.
+/// Time after which a longer window counts as a new one for the limits on moves, in milliseconds: one day.
 const WINDOW_MS: u64 = 86_400_000;
 const MICROS_PER_MS: u64 = 1_000;
 
-/// One document as last read.
+/// A document's value and revision as last read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Versioned<T> {
     revision: i64,
     value: T,
 }
 
-/// What a transaction is to change: the plan of moves, and the map where it has one.
+/// New values that a transaction writes: the plan of moves and, if it changes, the map.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proposal {
     map: Option<ShardMap>,
@@ -51,12 +54,12 @@
 }
 
 impl Proposal {
-    /// Changes the plan of moves alone.
+    /// Changes only the plan of moves.
     fn of_moves(moves: Moves) -> Self {
         Proposal { map: None, moves }
     }
 
-    /// Changes both, under the map's next epoch.
+    /// Changes both documents, under the map's next epoch.
     fn of_next_epoch(mut map: ShardMap, mut moves: Moves) -> Self {
         map.epoch = map.epoch.saturating_add(1);
         moves.epoch = map.epoch;
@@ -64,31 +67,33 @@
     }
 }
 
-/// A transaction that has no answer yet, with what holds once it is done.
+/// A transaction without a result yet, and the document values that hold once it commits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingTransaction {
     id: u64,
     proposal: Proposal,
 }
 
-/// How far the warming has come as this planner saw it.
+/// Progress of the current warming as observed by this planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ObservedWarming {
     epoch: u32,
+    /// Monotonic time at which this planner first saw the warming.
     since: Micros,
+    /// Duration of the warming before `since`, by the Unix clock.
     before_ms: u64,
 }
 
-/// Whether the documents as last read may be changed.
+/// Whether the planner may change the documents, by their state when last read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Documents {
-    /// They are to be read under this fence, after the last answer that leaves them open.
+    /// The documents have not been read under this fence, or not since the last rejected or unknown transaction.
     Unread,
-    /// Both have been read.
+    /// Both documents have been read.
     Read,
-    /// The map can't be read: only a last good one may take its place.
+    /// The map can't be decoded: it may only be replaced by the last good one.
     MapTorn,
-    /// One has another format: nothing is changed.
+    /// A document has an unknown format: nothing is changed.
     UnknownFormat,
 }
 
@@ -103,20 +108,20 @@
     map: Versioned<Option<ShardMap>>,
     moves: Versioned<Moves>,
     last_good_map: Option<ShardMap>,
-    /// The unusable document that was logged last.
+    /// The last error that was logged about an unusable document.
     logged_error: Option<PlacementError>,
     pending: Option<PendingTransaction>,
     next_id: u64,
     clock: ClockWatch,
-    /// Requested changes that can't be made.
+    /// Errors of the requested changes that can't be made.
     impossible_changes: Vec<PlacementError>,
     warming: Option<ObservedWarming>,
-    /// When to look for moves again.
+    /// Monotonic time of the next search for moves.
     next_search: Micros,
 }
 
 impl Planner {
-    /// For one zone; keys lie below the settings' prefix.
+    /// Returns a planner for one zone, with its keys below the settings' prefix.
     pub fn new(zone: u16, prefix: &str) -> Self {
         Planner {
             zone,
@@ -137,13 +142,13 @@
         }
     }
 
-    /// Whether both documents have to be read, after the last answer, before anything is decided.
+    /// Returns whether both documents have to be read, after the last transaction result, before anything is decided.
     pub fn wants_documents(&self) -> bool {
         self.fence.is_some() && self.documents == Documents::Unread && self.pending.is_none()
     }
 
-    /// Takes both documents, read together or followed: value and revision of the last change; `None`: no such key.
-    /// Ignored while a transaction is pending: its answer tells which of the two holds.
+    /// Accepts both documents, as listed or watched: each with its value and the revision of its last change, or `None`
+    /// without such a key. Ignored while a transaction is pending, whose result decides which values hold.
     pub fn documents(
         &mut self,
         map: Option<(&[u8], i64)>,
@@ -154,7 +159,7 @@
             return;
         }
         let map_error = self.read_map(map).err();
-        // Without a plan a move that warms is rolled back; its entry in the map is enough for that.
+        // An unreadable plan rolls back a move in its warming step, for which the entry in the map is enough.
         let moves_error = self.read_moves(moves).err();
         let is_unknown_format =
             |error: &Option<PlacementError>| matches!(error, Some(PlacementError::Format { .. }));
@@ -178,7 +183,7 @@
             Ok(value) => (value, Ok(())),
             Err(error) => (None, Err(error)),
         };
-        self.keep_newest_map(value.as_ref());
+        self.retain_newest_map(value.as_ref());
         self.map = Versioned { revision: document.map_or(0, |(_, revision)| revision), value };
         result
     }
@@ -193,8 +198,8 @@
         result
     }
 
-    /// The newest good map is kept, whatever becomes of the registry's.
-    fn keep_newest_map(&mut self, map: Option<&ShardMap>) {
+    /// Keeps the newest valid map, so that it outlives the loss of the registry's document.
+    fn retain_newest_map(&mut self, map: Option<&ShardMap>) {
         if let Some(map) =
             map.filter(|map| map.epoch > self.last_good_epoch() || self.last_good_map.is_none())
         {
@@ -206,7 +211,7 @@
         self.last_good_map.as_ref().map_or(0, |map| map.epoch)
     }
 
-    /// Takes the result of a transaction; one of an older transaction changes nothing.
+    /// Applies the result of a transaction; the result of an older transaction is ignored.
     pub fn answered(&mut self, id: u64, result: TransactionResult) {
         let Some(pending) = self.pending.take_if(|pending| pending.id == id) else { return };
         match result {
@@ -221,13 +226,13 @@
         }
     }
 
-    /// Decides what is to be done now; to be called every second or so, and after each answer.
+    /// Decides on the next transaction. Called about once a second, and after each transaction result.
     pub fn step(&mut self, input: &PlannerInput, notices: &mut Vec<Notice>) -> Option<Transaction> {
         self.clock.observe(input, notices);
         if input.fence != self.fence {
             self.begin_term(input.fence);
         }
-        self.keep_newest_map(input.local_map);
+        self.retain_newest_map(input.local_map);
         let fence = input.fence?;
         let may_decide = match self.documents {
             Documents::Unread | Documents::UnknownFormat => false,
@@ -241,7 +246,7 @@
         Some(self.transaction(fence, proposal))
     }
 
-    /// Of an earlier term nothing that was read or sent counts.
+    /// Starts a new term: discards what was read and sent under the previous fence.
     fn begin_term(&mut self, fence: Option<i64>) {
         self.fence = fence;
         self.documents = Documents::Unread;
@@ -255,7 +260,7 @@
         let mut puts = vec![(self.moves_key.clone(), proposal.moves.encode())];
         if let Some(map) = &proposal.map {
             let last_good = self.last_good_map.as_ref();
-            invariant!(last_good.is_none_or(|last| last.epoch < map.epoch), "an epoch never comes back");
+            invariant!(last_good.is_none_or(|last| last.epoch < map.epoch), "map epochs must increase");
             puts.push((self.map_key.clone(), map.encode()));
         }
         let compares =
@@ -266,7 +271,8 @@
 
     fn decide(&mut self, input: &PlannerInput, notices: &mut Vec<Notice>) -> Option<Proposal> {
         let moves = self.moves.value.clone();
-        // A map older than one that instances hold would not be followed: the registry was set back.
+        // Instances ignore a map older than the one they have applied. The registry can hold such a map after it was
+        // restored from a backup.
         let known_epoch = self.last_good_epoch();
         let Some(map) = self.map.value.clone().filter(|map| map.epoch >= known_epoch) else {
             return Some(self.first_map(input, moves, notices));
@@ -297,7 +303,7 @@
         }
     }
 
-    /// The requested changes that are not done and can be; a change that can't be made is logged once.
+    /// Returns the requested changes that are pending and possible; a change that can't be made is logged once.
     fn possible_changes(
         &mut self,
         input: &PlannerInput,
@@ -320,7 +326,8 @@
         possible
     }
 
-    /// A first map, or the last good one again. Its epoch is above all that anybody has seen.
+    /// Returns the first map, or the last good one again. Its epoch is above all epochs that the instances, this planner
+    /// or the plan of moves have recorded.
     fn first_map(&self, input: &PlannerInput, mut moves: Moves, notices: &mut Vec<Notice>) -> Proposal {
         let applied = input.instances.iter().flatten().copied().max().unwrap_or(0);
         let epoch = applied.max(self.last_good_epoch()).max(moves.epoch).saturating_add(1);
@@ -341,7 +348,7 @@
         Proposal { map: Some(map), moves }
     }
 
-    /// Goes on with the move that is begun, or takes it back.
+    /// Advances the active move, or rolls it back.
     fn continue_move(
         &mut self,
         input: &PlannerInput,
@@ -353,18 +360,19 @@
         let Some(active) = moves.active().cloned() else {
             return Some(self.roll_back(input, map, moves, Reason::Documents, notices));
         };
-        let warms = |place: &usize| map.shards[*place].warming.as_ref() == Some(&active.to);
+        let warms = |index: &usize| map.shards[*index].warming.as_ref() == Some(&active.to);
         let warming_shard = map.find(active.start).filter(warms);
         let warming_count = map.shards.iter().filter(|shard| shard.warming.is_some()).count();
         match (active.step, warming_shard) {
-            (Step::Warming { .. }, Some(place)) if warming_count == 1 => {
+            (Step::Warming { .. }, Some(index)) if warming_count == 1 => {
                 if let Some(reason) = self.reason_to_roll_back(input, window_end, &active) {
                     return Some(self.roll_back(input, map, moves, reason, notices));
                 }
-                self.cut_over(input, place, &active, map, moves, notices)
+                self.cut_over(input, index, &active, map, moves, notices)
             }
             (Step::Cutover { epoch }, None) if warming_count == 0 => {
-                // Past the window nothing waits for it: there is no way back, and nothing is begun.
+                // After the window, or while a site does not serve, the move completes without waiting for the
+                // instances: a cutover can't be rolled back, and no other move begins.
                 if window_end.is_some() && input.all_sites_serve() && !input.all_applied(epoch) {
                     return None;
                 }
@@ -395,11 +403,11 @@
         (!input.accepts_requests(&active.to)).then_some(Reason::TargetGone)
     }
 
-    /// Makes the new home the home, once it is warm and every instance knows that it warms.
+    /// Makes the target the shard's home once the warming has lasted as planned and every instance has applied its epoch.
     fn cut_over(
         &mut self,
         input: &PlannerInput,
-        place: usize,
+        index: usize,
         active: &Move,
         mut map: ShardMap,
         moves: Moves,
@@ -409,7 +417,7 @@
         if self.warmed_ms(input, epoch, since_ms, needs_ms) < needs_ms || !input.all_applied(epoch) {
             return None;
         }
-        map.shards[place].home = map.shards[place].warming.take();
+        map.shards[index].home = map.shards[index].warming.take();
         let mut proposal = Proposal::of_next_epoch(map, moves);
         let epoch = proposal.moves.epoch;
         for moved in proposal.moves.moves.iter_mut().filter(|moved| moved.start == active.start) {
@@ -419,8 +427,8 @@
         Some(proposal)
     }
 
-    /// How long a warming has gone on. The clock may step, so only the time before this planner first saw it is taken
-    /// by the clock; the planner before it had one that differs by no more than the skew.
+    /// Returns how long a warming has lasted. The Unix clock may step, so it measures only the time before this planner
+    /// first saw the warming, less the skew against the previous planner's clock.
     fn warmed_ms(&mut self, input: &PlannerInput, epoch: u32, since_ms: u64, needs_ms: u64) -> u64 {
         let before_ms = input.unix_ms.saturating_sub(since_ms).saturating_sub(input.skew_ms).min(needs_ms);
         let observed = match self.warming {
@@ -454,12 +462,12 @@
     }
 }
 
-/// The key of a zone's map.
+/// Returns the registry key of a zone's map.
 pub fn map_key(prefix: &str, zone: u16) -> String {
     format!("{prefix}map/{zone}")
 }
 
-/// The key of a zone's plan of moves.
+/// Returns the registry key of a zone's plan of moves.
 pub fn moves_key(prefix: &str, zone: u16) -> String {
     format!("{prefix}moves/{zone}")
 }
@@ -477,7 +485,7 @@
     (!dropped.is_empty()).then_some(Proposal::of_moves(moves))
 }
 
-/// Makes the first split or merge whose time has come, when nothing moves.
+/// Applies the first split or merge that is due; called while no move is planned or active.
 fn apply_due_change(
     input: &PlannerInput,
     window_end: u64,
--- a/src/placement/planner/clock.rs
+++ b/src/placement/planner/clock.rs
@@ -1,9 +1,9 @@
-//! Whether the planner's clock can be relied on: it must not step, nor differ from the instances' clocks.
+//! Checks on the planner's Unix clock, which must neither step nor differ from the instances' clocks.
 
 use super::{Notice, PlannerInput, MICROS_PER_MS};
 use crate::routing::events::Micros;
 
-/// Both clocks at one moment.
+/// Simultaneous readings of the monotonic and the Unix clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Reading {
     now: Micros,
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ClockWatch {
     last: Option<Reading>,
-    /// The clock has stepped since the last time that moves could begin.
+    /// The Unix clock has stepped since [`ClockWatch::blocks_moves`] last checked it.
     stepped: bool,
-    /// Clocks differed when this was last checked.
+    /// The instances' clocks differed too much at the last check.
     skewed: bool,
 }
 
 impl ClockWatch {
-    /// Compares the clock with the monotonic one.
+    /// Compares the Unix clock's progress with the monotonic clock's, to detect a step.
     pub(super) fn observe(&mut self, input: &PlannerInput, notices: &mut Vec<Notice>) {
         if let Some(last) = self.last {
             let elapsed_ms = input.now.saturating_sub(last.now) / MICROS_PER_MS;
@@ -33,12 +33,13 @@
         self.last = Some(Reading { now: input.now, unix_ms: input.unix_ms });
     }
 
-    /// Whether the clock has stepped.
+    /// Returns whether the Unix clock has stepped.
     pub(super) fn has_stepped(&self) -> bool {
         self.stepped
     }
 
-    /// Whether no move may begin now: clocks differ, or the planner's has just stepped, which counts once.
+    /// Returns whether no move may begin now: the instances' clocks differ too much, or the planner's Unix clock has
+    /// stepped since the last call.
     pub(super) fn blocks_moves(&mut self, input: &PlannerInput, notices: &mut Vec<Notice>) -> bool {
         let skewed = input.skew_ms > input.settings.skew / MICROS_PER_MS;
         if skewed && !self.skewed {
--- a/src/placement/planner/input.rs
+++ b/src/placement/planner/input.rs
@@ -1,4 +1,4 @@
-//! What the planner is given at each step, and what follows from it alone.
+//! Input of each planner step, and the conditions derived from it.
 
 use super::super::load::MeasuredShard;
 use super::super::map::{warm_kb_s, ShardMap};
@@ -10,15 +10,15 @@
 use crate::failover::SiteState;
 use crate::routing::events::{Id, Micros};
 
-/// Longest warming that is planned, in milliseconds.
+/// Upper limit on the duration of a planned warming, in milliseconds.
 const MAX_WARMING_MS: f64 = 1e15;
 
-/// What the planner is given at each step; all of it as it stands now.
+/// Input of a planner step: the current settings, clocks and observed state.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerInput<'a> {
-    /// What the product's script sets.
+    /// Settings of the product's script.
     pub settings: &'a Settings,
-    /// When shards may move.
+    /// Quiet windows and blackouts: the times at which shards may move.
     pub calendar: &'a Calendar,
     /// The zone's name in the calendar.
     pub zone: &'a str,
@@ -26,25 +26,25 @@
     pub now: Micros,
     /// The planner's Unix clock, in milliseconds.
     pub unix_ms: u64,
-    /// The most by which an instance's clock differs, by its reports, in milliseconds.
+    /// Largest difference between an instance's reported clock and this one, in milliseconds.
     pub skew_ms: u64,
-    /// The revision of the planner's own key while it holds it.
+    /// Revision of the planner's lease key while this instance holds the lease.
     pub fence: Option<i64>,
-    /// The sites that the zone's plans touch.
+    /// States of the sites that the zone's plans involve.
     pub sites: &'a [SiteState],
-    /// The epoch that each instance alive in the view of the zone has applied; `None`: not known yet.
+    /// Map epoch that each live instance of the zone has applied; `None` while unknown.
     pub instances: &'a [Option<u32>],
-    /// The most instances that the zone may have: warming is shared out among so many.
+    /// Maximum number of instances of the zone, among which the warming rate is divided.
     pub max_instances: u32,
     /// The map that the planner's own instance has applied.
     pub local_map: Option<&'a ShardMap>,
-    /// The zone's link, KB a second.
+    /// Bandwidth of the zone's link, in KB per second.
     pub link_kb_s: f64,
-    /// All caches of the zone; one that is left out counts as gone.
+    /// All caches of the zone; a missing one counts as removed.
     pub endpoints: &'a [EndpointCapacity],
-    /// Measured load of the shards, in order of their starts; one that is absent counts as empty.
+    /// Measured loads of the shards, ordered by start; a missing shard counts as empty.
     pub loads: &'a [MeasuredShard],
-    /// The splits and merges now wanted, which replace those that wait; `None`: not known, those that wait stay.
+    /// Requested splits and merges, which replace the pending ones; `None` while unknown, which keeps the pending ones.
     pub requested_changes: Option<&'a [Change]>,
 }
 
@@ -66,27 +66,28 @@
         self.sites.iter().all(|site| *site == SiteState::Serving)
     }
 
-    /// Whether the window that moves were last begun in is still the present one.
+    /// Returns whether the window in which moves last began is still the current one.
     pub(super) fn is_same_window(&self, moves: &Moves) -> bool {
         let left_ms = moves.window_ends_ms.saturating_sub(self.unix_ms);
         left_ms > 0 && left_ms <= WINDOW_MS
     }
 
-    /// When the present window ends; `None`: there is none now.
+    /// Returns the end of the current window, in Unix milliseconds; `None` outside of windows.
     pub(super) fn window_end_ms(&self, moves: &Moves) -> Option<u64> {
         let end_ms = self.calendar.quiet_at(self.zone, self.unix_ms)?;
         Some(if self.is_same_window(moves) { end_ms.min(moves.window_ends_ms) } else { end_ms })
     }
 
-    /// Until when a cutover may be decided: it has to be done, or dead, before the window ends by any clock.
+    /// Returns the deadline for deciding on a cutover, in Unix milliseconds: its transaction must have committed or been
+    /// cancelled, which takes up to a lease, before the window ends by any instance's clock.
     pub(super) fn last_cutover_ms(&self, window_end_ms: u64) -> u64 {
         window_end_ms.saturating_sub(self.settings.lease / MICROS_PER_MS).saturating_sub(self.skew_ms)
     }
 
-    /// How long so much takes to warm, in milliseconds; `None`: nothing can be sent there.
+    /// Returns how long warming `kb` kilobytes takes, in milliseconds; `None` if the endpoint has no spare bandwidth.
     fn warming_ms(&self, kb: f64, to: &Id) -> Option<u64> {
         let spare_kb_s = self.endpoint(to).map_or(0.0, |endpoint| endpoint.spare_kb_s);
-        // Instances that are not there leave their parts unused.
+        // Each instance has a fixed share of the rate; the shares of absent instances stay unused.
         let present = self.instances.len() as f64 / f64::from(self.max_instances.max(1));
         let rate_kb_s = warm_kb_s(self.settings.warm, self.link_kb_s, spare_kb_s) * present.min(1.0);
         let span_ms = kb / rate_kb_s * 1_000.0;
@@ -94,8 +95,8 @@
         possible.then_some(span_ms.ceil() as u64)
     }
 
-    /// How long the warming of a move takes, if all of the move fits into the window. Each change of the epoch has to
-    /// get to all instances: a lease's length each is left for that.
+    /// Returns the warming time of a move, in milliseconds, if the whole move fits into the window. All instances have
+    /// to apply each of the two epoch changes, for which a lease's duration each is reserved.
     pub(super) fn fitting_warming_ms(&self, window_end_ms: u64, kb: f64, to: &Id) -> Option<u64> {
         let spare_ms = self.settings.lease / MICROS_PER_MS * 2;
         let warming_ms = self.warming_ms(kb, to)?;
--- a/src/placement/planner/output.rs
+++ b/src/placement/planner/output.rs
@@ -1,79 +1,79 @@
-//! What a planner gives out: transactions for the registry, and what is to be logged.
+//! Output of a planner: transactions for the registry, and notices for the log.
 
 use super::super::error::PlacementError;
 use super::super::moves::Change;
 use crate::routing::events::Id;
 
-/// A transaction. It is to be sent with a compare of the planner's key, and must be given up for good (its call
-/// cancelled, or its connection closed) no later than a lease's length after it was handed out: what is decided close
-/// to a window's end counts on that.
+/// A transaction for the registry. The sender adds a compare of the planner's lease key, and must cancel the call or
+/// close its connection at the latest one lease duration after receiving the transaction: decisions close to the end
+/// of a window rely on that.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transaction {
-    /// For [`Planner::answered`](super::Planner::answered).
+    /// Identifies the transaction in [`Planner::answered`](super::Planner::answered).
     pub id: u64,
-    /// The fence that it was decided under.
+    /// The fence under which the transaction was decided.
     pub fence: i64,
-    /// Keys with the revision of their last change; 0: there is no such key.
+    /// Keys to compare, with the revision of their last change; 0 for a key that must not exist.
     pub compares: Vec<(String, i64)>,
-    /// Keys with their new values.
+    /// Keys to write, with their new values.
     pub puts: Vec<(String, Vec<u8>)>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TransactionResult {
-    /// Done, at this revision.
+    /// The transaction committed at this revision.
     Committed(i64),
-    /// A compare did not hold; nothing was changed.
+    /// A compare failed; nothing changed.
     Rejected,
-    /// No answer: it may have been done.
+    /// No reply arrived: the transaction may have committed.
     Unknown,
 }
 
-/// Why a move goes back to its old home, or is not begun.
+/// Why a move is rolled back, or dropped before it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The window ends, or is too short now, or the clock no longer reads within it.
+    /// The window ends, the rest of it is too short for the move, or the move exceeds the window's limits.
     WindowEnds,
-    /// A site that the zone's plan touches does not plainly serve.
+    /// A site that the zone's plans involve is not in the state `Serving`.
     Site,
-    /// This planner's clock has stepped.
+    /// This planner's Unix clock has stepped.
     ClockStepped,
-    /// The home is drained or gone.
+    /// The home is drained or removed.
     HomeGone,
-    /// The next home is drained or gone.
+    /// The target is drained or removed.
     TargetGone,
-    /// The documents do not fit each other.
+    /// The map and the plan of moves contradict each other.
     Documents,
 }
 
-/// What is to be logged.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A new map, without homes.
+    /// A first map without homes was created, with this epoch.
     FirstMap(u32),
-    /// The map was gone or unreadable and is written anew from the last good one.
+    /// The map was lost, unreadable or outdated and is restored from the last good one, with this epoch.
     MapRestored(u32),
-    /// So many moves are planned, of so many kilobytes.
+    /// Moves were planned: their number, and their total size in kilobytes.
     Planned(usize, u64),
-    /// A move has begun: the shard, its next home, and how long it is to last in milliseconds.
+    /// A move has begun: the shard's start, the target, and the duration of the warming in milliseconds.
     Begun(u64, Id, u64),
-    /// The shard's home is the new one, from this epoch on.
+    /// The shard with this start has its new home from this epoch on.
     CutOver(u64, u32),
-    /// Every instance has the shard's new home.
+    /// The move of the shard with this start is complete.
     Completed(u64),
-    /// The shard stays at its old home.
+    /// The shard with this start stays at its old home.
     RolledBack(u64, Reason),
-    /// A planned move is not begun.
+    /// The planned move of the shard with this start is not begun.
     Dropped(u64, Reason),
-    /// The shard was split or merged, at this epoch.
+    /// A split or merge was applied at this epoch.
     Changed(Change, u32),
-    /// A split or merge can't be made.
+    /// A split or merge can't be applied.
     CannotChange(PlacementError),
-    /// A document can't be used; logged once while it stays so.
+    /// A document can't be used; logged once while the problem lasts.
     Unusable(PlacementError),
-    /// Clocks differ by so many milliseconds; no move begins.
+    /// Clocks differ by this many milliseconds; no move begins.
     Skewed(u64),
-    /// This planner's own clock has stepped.
+    /// This planner's Unix clock has stepped.
     ClockStepped,
 }
--- a/src/placement/planner/start_move.rs
+++ b/src/placement/planner/start_move.rs
@@ -1,4 +1,4 @@
-//! Which moves are planned, and when the first of them begins.
+//! Planning moves, and beginning the first planned one.
 
 use super::super::map::{Shard, ShardMap};
 use super::super::moves::{Move, Moves, Step, MAX_MOVES};
@@ -6,18 +6,19 @@
 use super::{Notice, Planner, PlannerInput, Proposal, Reason, REST_MS, WINDOW_MS};
 use crate::routing::events::Micros;
 
-/// Between two searches for moves, in microseconds.
+/// Interval between two searches for moves, in microseconds.
 const SEARCH_PERIOD: Micros = 5_000_000;
 
 /// A move that can begin now.
 struct ReadyMove {
-    /// The shard's place in the map.
-    place: usize,
+    /// Index of the shard in the map.
+    index: usize,
     warming_ms: u64,
 }
 
 impl Planner {
-    /// Searches for moves. While nothing is measured all shards look empty, and all might go to one endpoint.
+    /// Searches for moves. Without any measured load nothing is planned: all shards would count as empty, and all of
+    /// them might move to one endpoint.
     pub(super) fn plan_moves(
         &mut self,
         input: &PlannerInput,
@@ -42,7 +43,7 @@
         Some(Proposal::of_moves(Moves { moves: planned, ..moves.clone() }))
     }
 
-    /// Begins the first of the planned moves, or drops it.
+    /// Begins the first planned move, or drops it if it can't begin.
     pub(super) fn begin_move(
         &mut self,
         input: &PlannerInput,
@@ -67,7 +68,7 @@
         }
         moves.begun = moves.begun.saturating_add(1);
         moves.begun_kb = moves.begun_kb.saturating_add(kb);
-        map.shards[ready.place].warming = Some(to.clone());
+        map.shards[ready.index].warming = Some(to.clone());
         let mut proposal = Proposal::of_next_epoch(map, moves);
         let epoch = proposal.moves.epoch;
         proposal.moves.moves[0].step =
@@ -77,7 +78,7 @@
     }
 }
 
-/// What is left of the window's moves and kilobytes.
+/// Returns the limits on moves and kilobytes, less what already began in the current window.
 fn remaining_limits(input: &PlannerInput, moves: &Moves) -> MoveLimits {
     let is_same_window = input.is_same_window(moves);
     let begun = if is_same_window { moves.begun } else { 0 };
@@ -102,7 +103,7 @@
     }
 }
 
-/// A chosen move as it is planned, if it fits into the window.
+/// Returns the plan entry for a chosen move, if the move fits into the window.
 fn planned_move(input: &PlannerInput, window_end: u64, map: &ShardMap, chosen: &ShardMove) -> Option<Move> {
     let shard = &map.shards[chosen.shard];
     let to = input.endpoints[chosen.to].id.clone();
@@ -113,7 +114,10 @@
     Some(Move { start: shard.start, from: shard.home.clone(), to, kb: chosen.kb as u64, step: Step::Planned })
 }
 
-/// Whether the first planned move can begin; why not.
+/// Checks whether the first planned move can begin.
+///
+/// # Errors
+/// The reason for which it can't.
 fn ready_move(
     input: &PlannerInput,
     window_end: u64,
@@ -126,8 +130,8 @@
         return Err(Reason::WindowEnds);
     }
     let from = planned.from.as_ref();
-    let is_as_planned = |&place: &usize| map.shards[place].home == planned.from && from != Some(&planned.to);
-    let place = map.find(planned.start).filter(is_as_planned).ok_or(Reason::Documents)?;
+    let is_as_planned = |&index: &usize| map.shards[index].home == planned.from && from != Some(&planned.to);
+    let index = map.find(planned.start).filter(is_as_planned).ok_or(Reason::Documents)?;
     if !input.accepts_requests(&planned.to) {
         return Err(Reason::TargetGone);
     }
@@ -135,5 +139,5 @@
         return Err(Reason::HomeGone);
     }
     let warming_ms = input.fitting_warming_ms(window_end, planned.kb as f64, &planned.to);
-    Ok(ReadyMove { place, warming_ms: warming_ms.ok_or(Reason::WindowEnds)? })
+    Ok(ReadyMove { index, warming_ms: warming_ms.ok_or(Reason::WindowEnds)? })
 }
--- a/src/placement/planner/tests.rs
+++ b/src/placement/planner/tests.rs
@@ -1,4 +1,4 @@
-//! The planner by itself, with a registry that does what it is told.
+//! Tests of the planner against a registry that commits every transaction.
 
 use super::super::load::MeasuredShard;
 use super::super::quiet::{Calendar, Window};
@@ -8,15 +8,15 @@
 use crate::failover::SiteState;
 use jiff::Timestamp;
 
-/// A registry that does all it is told, and a zone of two boxes.
+/// A zone of two endpoints, its planner, and a registry that commits every transaction.
 struct Zone {
     planner: Planner,
     settings: Settings,
     calendar: Calendar,
     documents: [Option<(Vec<u8>, i64)>; 2],
-    boxes: Vec<EndpointCapacity>,
+    endpoints: Vec<EndpointCapacity>,
     loads: Vec<MeasuredShard>,
-    wishes: Option<Vec<Change>>,
+    requested_changes: Option<Vec<Change>>,
     notices: Vec<Notice>,
     now: Micros,
     unix_ms: u64,
@@ -25,12 +25,12 @@
     revision: i64,
 }
 
-const START: u64 = 1_000_000_000;
+const START_MS: u64 = 1_000_000_000;
 
 impl Zone {
     fn new() -> Self {
-        let at = |s: u64| Timestamp::from_millisecond((START + s * 1_000) as i64).unwrap();
-        let place = |id: &str| EndpointCapacity {
+        let at = |s: u64| Timestamp::from_millisecond((START_MS + s * 1_000) as i64).unwrap();
+        let endpoint = |id: &str| EndpointCapacity {
             id: id.into(),
             weight: 1.0,
             accepts_requests: true,
@@ -45,24 +45,25 @@
                 blackouts: vec![],
             },
             documents: [None, None],
-            boxes: vec![place("a"), place("b")],
+            endpoints: vec![endpoint("a"), endpoint("b")],
             loads: (0..4u64).map(|n| MeasuredShard { start: n << 62, load: 1.0, kb: 1_000.0 }).collect(),
-            wishes: None,
+            requested_changes: None,
             notices: Vec::new(),
             now: 0,
-            unix_ms: START,
+            unix_ms: START_MS,
             skew_ms: 0,
             site: SiteState::Serving,
             revision: 10,
         }
     }
 
-    /// One second; what is written is done at once, and the instance follows.
-    fn second(&mut self) {
+    /// Advances both clocks by one second and steps the planner twice; transactions commit at once, and the instance
+    /// applies each map before the next step.
+    fn tick(&mut self) {
         (self.now, self.unix_ms) = (self.now + 1_000_000, self.unix_ms + 1_000);
         for _ in 0..2 {
             let epoch = self.map().map(|m| m.epoch);
-            let view = PlannerInput {
+            let input = PlannerInput {
                 settings: &self.settings,
                 calendar: &self.calendar,
                 zone: "west",
@@ -75,16 +76,16 @@
                 max_instances: 1,
                 local_map: None,
                 link_kb_s: 1_000.0,
-                endpoints: &self.boxes,
+                endpoints: &self.endpoints,
                 loads: &self.loads,
-                requested_changes: self.wishes.as_deref(),
+                requested_changes: self.requested_changes.as_deref(),
             };
-            if let Some(write) = self.planner.step(&view, &mut self.notices) {
+            if let Some(transaction) = self.planner.step(&input, &mut self.notices) {
                 self.revision += 1;
-                for (key, value) in write.puts {
+                for (key, value) in transaction.puts {
                     self.documents[usize::from(key == "/s/moves/1")] = Some((value, self.revision));
                 }
-                self.planner.answered(write.id, TransactionResult::Committed(self.revision));
+                self.planner.answered(transaction.id, TransactionResult::Committed(self.revision));
             }
             if self.planner.wants_documents() {
                 self.read();
@@ -101,23 +102,23 @@
         ShardMap::decode(&self.documents[0].as_ref()?.0, 1).ok()
     }
 
-    fn until(&mut self, second: u64) {
-        while self.unix_ms < START + second * 1_000 {
-            self.second();
+    fn run_until(&mut self, second: u64) {
+        while self.unix_ms < START_MS + second * 1_000 {
+            self.tick();
         }
     }
 
-    fn count(&self, is: fn(&Notice) -> bool) -> usize {
-        self.notices.iter().filter(|n| is(n)).count()
+    fn count(&self, matches_notice: fn(&Notice) -> bool) -> usize {
+        self.notices.iter().filter(|n| matches_notice(n)).count()
     }
 }
 
 #[test]
-fn shards_get_homes_in_the_window_and_no_more_than_its_limits() {
+fn shards_get_homes_only_inside_the_window_and_within_its_move_limit() {
     let mut zone = Zone::new();
-    zone.until(99);
+    zone.run_until(99);
     assert!(zone.map().unwrap().shards.iter().all(|s| s.home.is_none()), "a first map moves nothing");
-    zone.until(500);
+    zone.run_until(500);
     let homes = zone.map().unwrap().shards.iter().filter(|s| s.home.is_some()).count();
     assert_eq!((homes, zone.count(|n| matches!(n, Notice::Begun(..)))), (3, 3), "{:?}", zone.notices);
     let map = zone.map().unwrap();
@@ -125,79 +126,79 @@
 }
 
 #[test]
-fn nothing_begins_that_would_not_end_in_the_window_or_with_clocks_apart() {
-    let mut long = Zone::new();
-    long.loads.iter_mut().for_each(|l| l.kb = 300.0 * 100.0);
-    long.until(500);
-    assert_eq!(long.count(|n| matches!(n, Notice::Begun(..))), 0);
-    let mut returns = Zone::new();
-    returns.site = SiteState::Recovering { step: 1 };
-    returns.until(500);
-    assert_eq!(returns.count(|n| matches!(n, Notice::Begun(..))), 0);
-    let mut apart = Zone::new();
-    apart.skew_ms = 2_001;
-    apart.until(500);
-    assert_eq!(apart.count(|n| matches!(n, Notice::Begun(..))), 0);
-    assert_eq!(apart.count(|n| *n == Notice::Skewed(2_001)), 1);
+fn no_move_begins_that_exceeds_the_window_or_while_a_site_recovers_or_clocks_are_skewed() {
+    let mut large_shards = Zone::new();
+    large_shards.loads.iter_mut().for_each(|l| l.kb = 300.0 * 100.0);
+    large_shards.run_until(500);
+    assert_eq!(large_shards.count(|n| matches!(n, Notice::Begun(..))), 0);
+    let mut recovering = Zone::new();
+    recovering.site = SiteState::Recovering { step: 1 };
+    recovering.run_until(500);
+    assert_eq!(recovering.count(|n| matches!(n, Notice::Begun(..))), 0);
+    let mut skewed = Zone::new();
+    skewed.skew_ms = 2_001;
+    skewed.run_until(500);
+    assert_eq!(skewed.count(|n| matches!(n, Notice::Begun(..))), 0);
+    assert_eq!(skewed.count(|n| *n == Notice::Skewed(2_001)), 1);
 }
 
 #[test]
-fn what_goes_wrong_in_warming_takes_it_back() {
-    type Wrong = fn(&mut Zone);
-    let wrongs: [(Wrong, Reason); 4] = [
+fn a_fault_during_warming_rolls_the_move_back() {
+    type Fault = fn(&mut Zone);
+    let faults: [(Fault, Reason); 4] = [
         (|z| z.site = SiteState::Suspected, Reason::Site),
         (|z| z.unix_ms += 60_000, Reason::ClockStepped),
-        (|z| z.boxes.iter_mut().for_each(|b| b.accepts_requests = false), Reason::TargetGone),
+        (|z| z.endpoints.iter_mut().for_each(|b| b.accepts_requests = false), Reason::TargetGone),
         (|z| z.calendar = Calendar::default(), Reason::WindowEnds),
     ];
-    for (wrong, why) in wrongs {
+    for (inject, expected_reason) in faults {
         let mut zone = Zone::new();
-        zone.until(106);
+        zone.run_until(106);
         assert!(zone.map().unwrap().shards.iter().any(|s| s.warming.is_some()), "{:?}", zone.notices);
-        wrong(&mut zone);
-        (0..2).for_each(|_| zone.second());
+        inject(&mut zone);
+        (0..2).for_each(|_| zone.tick());
         assert!(zone.map().unwrap().shards.iter().all(|s| s.home.is_none()));
-        assert!(zone.notices.iter().any(|n| matches!(n, Notice::RolledBack(_, w) if *w == why)));
+        assert!(zone.notices.iter().any(|n| matches!(n, Notice::RolledBack(_, w) if *w == expected_reason)));
     }
 }
 
 #[test]
-fn a_schedule_outlives_its_planner_and_a_wish_is_made_once() {
+fn pending_changes_survive_a_new_planner_and_are_applied_once() {
     let mut zone = Zone::new();
-    let split = Change::Split { start: 0, at: 1 << 61, not_before_ms: START + 200_000 };
-    zone.wishes = Some(vec![split, Change::Merge { start: 2 << 62, next: 3 << 62 }]);
+    let split = Change::Split { start: 0, at: 1 << 61, not_before_ms: START_MS + 200_000 };
+    zone.requested_changes = Some(vec![split, Change::Merge { start: 2 << 62, next: 3 << 62 }]);
     zone.settings.moves = 0;
-    zone.until(150);
-    (zone.planner, zone.wishes) = (Planner::new(1, "/s/"), None);
-    zone.until(199);
+    zone.run_until(150);
+    (zone.planner, zone.requested_changes) = (Planner::new(1, "/s/"), None);
+    zone.run_until(199);
     assert_eq!(zone.map().unwrap().shards.len(), 3, "only the merge");
-    zone.until(202);
+    zone.run_until(202);
     assert_eq!(zone.map().unwrap().shards.len(), 4);
-    zone.wishes = Some(vec![split]);
+    zone.requested_changes = Some(vec![split]);
     let epoch = zone.map().unwrap().epoch;
-    zone.until(300);
-    assert_eq!(zone.map().unwrap().epoch, epoch, "done is done");
+    zone.run_until(300);
+    assert_eq!(zone.map().unwrap().epoch, epoch, "a split that was applied is not applied again");
 }
 
 #[test]
-fn a_map_that_is_lost_torn_or_set_back_comes_again_and_a_newer_format_is_left_alone() {
+fn a_lost_torn_or_outdated_map_is_restored_and_an_unknown_format_is_left_unchanged() {
     let mut zone = Zone::new();
-    zone.until(300);
-    let good = zone.map().unwrap();
-    let old = ShardMap { epoch: 1, ..good.clone() }.encode();
-    for document in [None, Some((vec![1, 2, 3], 77)), Some((old, 77))] {
+    zone.run_until(300);
+    let last_good = zone.map().unwrap();
+    let outdated = ShardMap { epoch: 1, ..last_good.clone() }.encode();
+    for document in [None, Some((vec![1, 2, 3], 77)), Some((outdated, 77))] {
         let before = zone.map().unwrap().epoch;
         zone.documents[0] = document;
         zone.read();
-        zone.second();
+        zone.tick();
         let map = zone.map().unwrap();
-        assert!(map.epoch > before && map.shards == good.shards, "{:?}", zone.notices.last());
+        assert!(map.epoch > before && map.shards == last_good.shards, "{:?}", zone.notices.last());
     }
-    let mut newer = good.encode();
-    newer[1] = 2;
-    zone.documents[0] = Some((newer.clone(), 99));
+    let mut unknown_format = last_good.encode();
+    unknown_format[1] = 2;
+    zone.documents[0] = Some((unknown_format.clone(), 99));
     zone.read();
-    zone.until(500);
-    assert_eq!(zone.documents[0], Some((newer, 99)));
+    zone.run_until(500);
+    assert_eq!(zone.documents[0], Some((unknown_format, 99)));
     assert_eq!(zone.count(|n| matches!(n, Notice::Unusable(PlacementError::Format { .. }))), 1);
 }
