--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -1,5 +1,6 @@
-//! The last good map on disk, where a folder is set: a restart begins with it while the registry can't be reached.
-//! What is read is checked by its checksum and format; a thread of its own writes, so that no disk holds up the loop.
+//! Snapshot of the last good map on disk, if a folder is set: after a restart, an instance uses it while the registry is
+//! unreachable. Reading checks the checksum and the format. A dedicated thread writes, so that a slow disk does not block
+//! the event loop.
 
 #[cfg(test)]
 mod tests;
@@ -12,40 +13,40 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::sync::Arc;
 
-/// Maps that wait to be written; one that finds no room is left out, and the next one is written.
-const WAITING: usize = 2;
+/// Maximum number of maps that wait to be written; a map is dropped while the queue is full.
+const QUEUE_CAPACITY: usize = 2;
 
-/// Why there is no snapshot.
+/// Why a snapshot can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The folder or the file can't be used.
-    #[error("{path}: {why}; the instance begins without a map, and goes by the hash until the registry answers: make the folder writable for it")]
+    /// The file can't be read.
+    #[error("{path}: {why}; the instance starts without a map and routes by hash until the registry answers: make the folder writable for it")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         why: io::Error,
     },
-    /// What stands there is no map.
+    /// The file has no usable map.
     #[error("{path} is not used: {why}")]
     Unusable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the document.
         why: PlacementError,
     },
 }
 
-fn file(folder: &Path, zone: u16) -> PathBuf {
+fn snapshot_path(folder: &Path, zone: u16) -> PathBuf {
     folder.join(format!("shards-{zone}.map"))
 }
 
-/// What an instance of a zone begins with. Without a file: without a map.
+/// Loads the snapshot of a zone's map. Without a file, the follower has no map.
 ///
 /// # Errors
-/// A file that can't be read, is torn, or is of another format or zone.
+/// The file can't be read, is corrupt, or has another format or zone.
 pub fn load(folder: &Path, zone: u16) -> Result<Follower, SnapshotError> {
-    let path = file(folder, zone);
+    let path = snapshot_path(folder, zone);
     match std::fs::read(&path) {
         Ok(bytes) => Follower::restore(zone, &bytes).map_err(|why| SnapshotError::Unusable { path, why }),
         Err(why) if why.kind() == io::ErrorKind::NotFound => Ok(Follower::new(zone)),
@@ -53,34 +54,34 @@
     }
 }
 
-/// Writes maps, one after another.
+/// Writes maps to disk, one after another.
 #[derive(Debug)]
 pub struct Saver {
     maps: SyncSender<Arc<ShardMap>>,
 }
 
 impl Saver {
-    /// Starts the thread for a zone's map in a folder. It ends with the saver.
+    /// Starts the thread that writes a zone's maps into a folder; it ends when the saver is dropped.
     pub fn start(folder: PathBuf, zone: u16) -> io::Result<Self> {
-        let (maps, wanted) = sync_channel::<Arc<ShardMap>>(WAITING);
+        let (maps, queue) = sync_channel::<Arc<ShardMap>>(QUEUE_CAPACITY);
         std::thread::Builder::new().name("shards".to_owned()).spawn(move || {
-            // A map that could not be written stays in the registry and in memory; the next one is tried again.
-            wanted.iter().for_each(|map| drop(write(&folder, zone, &map)));
+            // A failed write is ignored: the map is still in the registry and in memory, and the next map is written.
+            queue.iter().for_each(|map| drop(write(&folder, zone, &map)));
         })?;
         Ok(Saver { maps })
     }
 
-    /// Has a map written; `false`: the disk is behind, and it is left out.
+    /// Queues a map to be written; `false` if the queue is full and the map is dropped.
     pub fn save(&self, map: &Arc<ShardMap>) -> bool {
         !matches!(self.maps.try_send(map.clone()), Err(TrySendError::Full(_) | TrySendError::Disconnected(_)))
     }
 }
 
-/// Whole or not at all: a new file takes the place of the old one.
+/// Replaces the file atomically, by renaming a complete new file.
 fn write(folder: &Path, zone: u16, map: &ShardMap) -> io::Result<()> {
-    let (path, new) = (file(folder, zone), folder.join(format!("shards-{zone}.new")));
-    let mut out = std::fs::File::create(&new)?;
-    out.write_all(&map.encode())?;
-    out.sync_all()?;
-    std::fs::rename(new, path)
+    let (path, temporary) = (snapshot_path(folder, zone), folder.join(format!("shards-{zone}.new")));
+    let mut file = std::fs::File::create(&temporary)?;
+    file.write_all(&map.encode())?;
+    file.sync_all()?;
+    std::fs::rename(temporary, path)
 }
