--- a/src/placement/document.rs
+++ b/src/placement/document.rs
@@ -1,4 +1,4 @@
-//! The form that all documents share: kind, format, checksum, body. Any bytes are read without a panic.
+//! Encoding shared by all documents: kind, format, checksum and body. Decoding never panics, whatever the bytes.
 //!
 //! ```text
 //! kind:1  format:1  crc32 of the body:4, big-endian  body (postcard)
@@ -10,25 +10,25 @@
 
 const FORMAT: u8 = 1;
 const HEAD_BYTES: usize = 6;
-/// Where the checksum stands.
+/// Position of the checksum in a document.
 const CHECKSUM: std::ops::Range<usize> = 2..HEAD_BYTES;
-/// Most bytes of a document: registries take no more in one transaction than 1.5 MB by default.
+/// Maximum size of a document, in bytes: by default, registries accept at most 1.5 MB in one transaction.
 pub const MAX_BYTES: usize = 700_000;
 
 /// A kind of document.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Kind {
-    /// The first byte of its documents.
+    /// First byte of the kind's documents.
     pub tag: u8,
-    /// Its name for operators.
+    /// Name of the kind in error messages.
     pub name: &'static str,
 }
 
-/// A value as a document.
+/// Encodes a value as a document.
 ///
 /// # Panics
 ///
-/// Never for the documents of this module: numbers, strings and lists are encoded into memory without an error.
+/// Never for the documents of this module: encoding numbers, strings and lists into memory can't fail.
 pub(super) fn encode<T: Serialize>(kind: Kind, value: &T) -> Vec<u8> {
     let head = vec![kind.tag, FORMAT, 0, 0, 0, 0];
     let mut bytes = postcard::to_extend(value, head).expect("numbers, strings and lists are encodable");
@@ -37,7 +37,7 @@
     bytes
 }
 
-/// The value of a document.
+/// Decodes the value of a document.
 ///
 /// # Errors
 ///
@@ -58,10 +58,10 @@
         return Err(PlacementError::Format { what, format: head[1], known: FORMAT });
     }
     if head[CHECKSUM] != crc32fast::hash(body).to_be_bytes() {
-        return Err(torn("its checksum does not fit"));
+        return Err(torn("wrong checksum"));
     }
     match postcard::take_from_bytes::<T>(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err(torn("not in this form")),
+        _ => Err(torn("malformed body")),
     }
 }
--- a/src/placement/error.rs
+++ b/src/placement/error.rs
@@ -1,48 +1,48 @@
-//! What can be wrong with the settings, documents and changes of shards.
+//! Errors in the settings, documents and changes of shards.
 
-/// Why something about shards was refused.
+/// Error in the settings, a document or a change of shards.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum PlacementError {
     /// A quiet window or blackout names a zone that the settings lack.
     #[error("quiet() or blackout() names the zone '{zone}', which the settings lack; known are: {known}. Correct the name in the product's script")]
     UnknownZone {
-        /// The name.
+        /// The unknown name.
         zone: String,
-        /// Those of the settings.
+        /// The zones of the settings, separated by commas.
         known: String,
     },
-    /// Cut off, changed on the way, or something else altogether.
-    #[error("the {what} is torn ({why}); the last good one stays in force. Delete its key, or its file, and the planner writes it anew")]
+    /// A document is truncated, corrupt or of another kind.
+    #[error("the {what} is corrupt ({why}); the last good one stays in force. Delete its key or its file, and the planner writes it again")]
     Torn {
-        /// Which document.
+        /// Kind of the document.
         what: &'static str,
-        /// What shows it.
+        /// The problem found.
         why: &'static str,
     },
-    /// Of a format that this version does not know.
-    #[error("the {what} has format {format}, and this version reads {known}; nothing is changed. Run the same version everywhere, or delete its key with every instance on this one")]
+    /// A document has a format that this version does not know.
+    #[error("the {what} has format {format}, but this version reads format {known}; nothing is changed. Run the same version on all instances, or delete its key once every instance runs this version")]
     Format {
-        /// Which document.
+        /// Kind of the document.
         what: &'static str,
-        /// The format found.
+        /// Format of the document.
         format: u8,
-        /// The format known.
+        /// Format that this version reads.
         known: u8,
     },
-    /// Whole, but against its own rules.
-    #[error("the {what} is whole but can't be right ({why}); the last good one stays in force. Whoever wrote it is at fault: see which version did, then delete its key")]
+    /// A document is intact but its contents are invalid.
+    #[error("the {what} is intact but invalid ({why}); the last good one stays in force. The writer is at fault: find out which version wrote it, then delete its key")]
     Broken {
-        /// Which document.
+        /// Kind of the document.
         what: &'static str,
-        /// Which rule.
+        /// The violated rule.
         why: &'static str,
     },
-    /// A split or merge that can't be made.
-    #[error("the shard that begins at {start:016x} can't be split or merged ({why}); the wish is dropped and comes again with the next forecast")]
+    /// A split or merge is not possible.
+    #[error("the shard that begins at {start:016x} can't be split or merged ({why}); the request is dropped, and the next forecast repeats it if it is still needed")]
     Change {
-        /// The shard.
+        /// Start of the shard.
         start: u64,
-        /// Why not.
+        /// The reason.
         why: &'static str,
     },
 }
--- a/src/placement/follow.rs
+++ b/src/placement/follow.rs
@@ -1,6 +1,6 @@
-//! The map of its zone as an instance has applied it: the last good one stays, and no epoch comes back.
+//! An instance's applied map of its zone: the last good map stays in force, and applied epochs only increase.
 //!
-//! `proxy::rebalancing` owns one [`Follower`], hands it the registry's document and takes shard assignments from it.
+//! `proxy::rebalancing` owns one [`Follower`], passes it the registry's document and takes shard assignments from it.
 
 #[cfg(test)]
 mod tests;
@@ -11,20 +11,20 @@
 use crate::routing::events::Id;
 use std::sync::Arc;
 
-/// What is to be logged.
+/// Outcome of applying a document, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MapUpdate {
-    /// A map of a new epoch is applied.
+    /// The map of a new epoch is applied.
     Applied(u32),
-    /// The map's key is gone; the map of this epoch stays in force.
+    /// The map's key was deleted; the map of this epoch stays in force.
     Deleted(u32),
-    /// The document can't be used; what was in force stays.
+    /// The document can't be used; the map in force stays.
     Unusable(PlacementError),
-    /// The document is of an older epoch, or another one of the same; what is in force stays.
+    /// The document has an older epoch, or the same epoch with other contents; the map in force stays.
     NotNewer {
-        /// The epoch in force.
+        /// Epoch in force.
         applied: u32,
-        /// The epoch of the document.
+        /// Epoch of the document.
         received: u32,
     },
 }
@@ -32,51 +32,51 @@
 impl std::fmt::Display for MapUpdate {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            MapUpdate::Applied(epoch) => write!(f, "epoch {epoch} is applied"),
+            MapUpdate::Applied(epoch) => write!(f, "applied epoch {epoch}"),
             MapUpdate::Deleted(epoch) => {
-                write!(f, "its key is gone; epoch {epoch} stays in force, and the planner writes it anew")
+                write!(f, "the key was deleted; epoch {epoch} stays in force, and the planner writes the map again")
             }
             MapUpdate::Unusable(why) => why.fmt(f),
             MapUpdate::NotNewer { applied, received } => write!(
                 f,
-                "epoch {received} came, which is not later than {applied}; if the registry was restored, the planner writes a later one"
+                "received epoch {received}, which is not newer than {applied}; if the registry was restored from a backup, the planner writes a newer one"
             ),
         }
     }
 }
 
-/// One instance's knowledge of its zone's map.
+/// The applied map of an instance's zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Follower {
     zone: u16,
     map: Option<Arc<ShardMap>>,
-    /// The problem that was logged last: it is not logged again while it lasts.
+    /// The last problem that was logged; it is not logged again while it lasts.
     logged: Option<MapUpdate>,
 }
 
 impl Follower {
-    /// Without a map.
+    /// Returns a follower without a map.
     pub fn new(zone: u16) -> Self {
         Follower { zone, map: None, logged: None }
     }
 
-    /// With the map of a snapshot.
+    /// Returns a follower with the map of a snapshot.
     ///
     /// # Errors
     ///
-    /// As [`ShardMap::decode`]; the instance then begins without a map.
+    /// As [`ShardMap::decode`]; the instance then starts without a map.
     pub fn restore(zone: u16, snapshot: &[u8]) -> Result<Self, PlacementError> {
         let map = ShardMap::decode(snapshot, zone)?;
         Ok(Follower { zone, map: Some(Arc::new(map)), logged: None })
     }
 
-    /// What a restart begins with, where a folder is set: checksummed, with the format's number.
+    /// Returns the map as an encoded document, from which [`Follower::restore`] starts after a restart.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         self.map.as_ref().map(|map| map.encode())
     }
 
-    /// Applies the document as it now stands in the registry; `None`: there is none. Gives what is to be logged: each
-    /// problem once while it lasts.
+    /// Applies the registry's current document, `None` if it has none. Returns the outcome to log: each problem once
+    /// while it lasts.
     pub fn apply(&mut self, document: Option<&[u8]>) -> Option<MapUpdate> {
         let applied = self.epoch();
         let update = match document.map(|bytes| ShardMap::decode(bytes, self.zone)) {
@@ -98,17 +98,18 @@
         update.filter(|update| logged.as_ref() != Some(update))
     }
 
-    /// The map in force.
+    /// Returns the map in force.
     pub fn map(&self) -> Option<&Arc<ShardMap>> {
         self.map.as_ref()
     }
 
-    /// The epoch applied, for the instance's report; 0: none.
+    /// Returns the applied epoch, for the instance's report; 0 without a map.
     pub fn epoch(&self) -> u32 {
         self.map.as_ref().map_or(0, |map| map.epoch)
     }
 
-    /// For the routing constraints (see [`ShardMap::assignments`]); empty without a map: the order of the hash.
+    /// Returns the assignments for the routing constraints (see [`ShardMap::assignments`]). Without a map there are none,
+    /// and the hash order decides.
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
         self.map.as_ref().map_or_else(Arc::default, |map| map.assignments(rate, lateral))
     }
--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -1,5 +1,6 @@
-//! The map of one zone's shards, as it stands in the registry and at every instance. Without a map, and for a shard
-//! without a home, the order of the hash decides. The planner writes maps, every instance's `Follower` reads them.
+//! The map of one zone's shards, stored in the registry and applied by every instance. Without a map, and for a shard
+//! without a home, the hash order of the endpoints decides. The planner writes maps; every instance's `Follower` reads
+//! them.
 
 #[cfg(test)]
 pub(super) mod tests;
@@ -12,46 +13,46 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Most shards of a map, whatever the settings.
+/// Maximum number of shards in a map, regardless of the settings.
 pub const MAX_SHARDS: usize = 10_000;
-/// Longest name of an endpoint, in bytes.
+/// Maximum length of an endpoint name, in bytes.
 pub const MAX_NAME_BYTES: usize = 255;
 const KIND: Kind = Kind { tag: b'M', name: "map of shards" };
 
-/// One shard: from `start` up to where the next one begins.
+/// A shard: the positions from `start` up to the start of the next shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Shard {
-    /// Where it begins.
+    /// First position of the shard.
     pub start: u64,
-    /// The endpoint that its objects go to first; `None`: the order of the hash.
+    /// The endpoint that requests for the shard's objects go to first; `None` if the hash order decides.
     pub home: Option<Id>,
-    /// Its next home, which is being warmed.
+    /// The shard's next home while it is being warmed.
     pub warming: Option<Id>,
 }
 
 /// The shards of a zone at one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ShardMap {
-    /// The zone's number in the settings.
+    /// Number of the zone in the settings.
     pub zone: u16,
-    /// Grows with every change.
+    /// Version of the map, which increases with every change.
     pub epoch: u32,
-    /// In order of their starts; the first begins at 0.
+    /// Shards in ascending order of their starts; the first begins at 0.
     pub shards: Vec<Shard>,
 }
 
-/// A shard as encoded.
+/// Encoded form of a shard.
 #[derive(Deserialize, Serialize)]
 struct EncodedShard {
-    /// How far its start is after that of the shard before.
+    /// Distance of its start from the start of the previous shard.
     distance: u64,
-    /// Place in [`EncodedMap::names`].
+    /// Index of the home in [`EncodedMap::names`].
     home: Option<u16>,
-    /// The same.
+    /// Index of the warming endpoint in [`EncodedMap::names`].
     warming: Option<u16>,
 }
 
-/// A map as encoded.
+/// Encoded form of a map.
 #[derive(Deserialize, Serialize)]
 struct EncodedMap {
     zone: u16,
@@ -60,14 +61,14 @@
     shards: Vec<EncodedShard>,
 }
 
-/// What may go to one endpoint for warming, in KB a second over all instances: `warm` of the link, and no more than the
-/// endpoint has to spare.
+/// Returns the maximum rate of warming one endpoint, in KB per second over all instances: the part `warm` of the link,
+/// but at most the endpoint's spare bandwidth.
 pub fn warm_kb_s(warm: f64, link_kb_s: f64, spare_kb_s: f64) -> f64 {
     (warm * link_kb_s).min(spare_kb_s).max(0.0)
 }
 
 impl ShardMap {
-    /// Equal shards without homes: all is as without a map.
+    /// Returns a map of equal shards without homes, which routes as if there were no map.
     pub fn first(zone: u16, epoch: u32, shards: usize) -> Self {
         let count = shards.clamp(1, MAX_SHARDS) as u128;
         let start = |number: u128| ((number << 64) / count) as u64;
@@ -84,65 +85,65 @@
         rule(self.shards.windows(2).all(|p| p[0].start < p[1].start), "starts do not ascend")?;
         rule(
             names().all(|n| !n.is_empty() && n.len() <= MAX_NAME_BYTES),
-            "a box's name is empty or too long",
+            "an endpoint name is empty or too long",
         )?;
         rule(
             self.shards.iter().all(|s| s.warming.is_none() || s.warming != s.home),
-            "a shard moves to its home",
+            "a shard moves to its own home",
         )
     }
 
-    /// Its document.
+    /// Encodes the map as a document.
     pub fn encode(&self) -> Vec<u8> {
         let endpoints = self.shards.iter().flat_map(|s| [&s.home, &s.warming]).flatten();
         let mut names: Vec<Id> = endpoints.cloned().collect();
         names.sort_unstable();
         names.dedup();
-        let place = |name: &Option<Id>| Some(names.binary_search(name.as_ref()?).ok()? as u16);
-        let mut before = 0;
+        let index = |name: &Option<Id>| Some(names.binary_search(name.as_ref()?).ok()? as u16);
+        let mut previous = 0;
         let shard = |shard: &Shard| {
-            let distance = shard.start.saturating_sub(before);
-            before = shard.start;
-            EncodedShard { distance, home: place(&shard.home), warming: place(&shard.warming) }
+            let distance = shard.start.saturating_sub(previous);
+            previous = shard.start;
+            EncodedShard { distance, home: index(&shard.home), warming: index(&shard.warming) }
         };
         let shards = self.shards.iter().map(shard).collect();
         encode(KIND, &EncodedMap { zone: self.zone, epoch: self.epoch, names, shards })
     }
 
-    /// Reads the document of a zone's map.
+    /// Decodes the document of a zone's map.
     ///
     /// # Errors
     /// [`PlacementError::Torn`], [`PlacementError::Format`], and [`PlacementError::Broken`] for a map that does not
-    /// cover the space once, or is of another zone.
+    /// cover the hash space exactly once, or that belongs to another zone.
     pub fn decode(bytes: &[u8], zone: u16) -> Result<ShardMap, PlacementError> {
         let broken = |why| PlacementError::Broken { what: KIND.name, why };
         let encoded: EncodedMap = decode(KIND, bytes)?;
         if encoded.zone != zone {
-            return Err(broken("it is of another zone"));
+            return Err(broken("it belongs to another zone"));
         }
-        let name = |place: Option<u16>| match place {
+        let name = |index: Option<u16>| match index {
             None => Ok(None),
             Some(p) => {
-                encoded.names.get(usize::from(p)).cloned().map(Some).ok_or(broken("a box has no name"))
+                encoded.names.get(usize::from(p)).cloned().map(Some).ok_or(broken("an endpoint has no name"))
             }
         };
         let mut start = 0u64;
         let mut shards = Vec::new();
         for EncodedShard { distance, home, warming } in &encoded.shards {
-            start = start.checked_add(*distance).ok_or(broken("starts go past the space"))?;
+            start = start.checked_add(*distance).ok_or(broken("a start is beyond the hash space"))?;
             shards.push(Shard { start, home: name(*home)?, warming: name(*warming)? });
         }
         let map = ShardMap { zone, epoch: encoded.epoch, shards };
         map.check().map(|()| map)
     }
 
-    /// The place of the shard that begins there.
+    /// Returns the index of the shard that begins at `start`.
     pub fn find(&self, start: u64) -> Option<usize> {
         self.shards.binary_search_by_key(&start, |s| s.start).ok()
     }
 
-    /// For the routing constraints; `rate` gives how much of warming this instance may send an endpoint, in transfers at
-    /// full rate (its part of [`warm_kb_s`]).
+    /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to an
+    /// endpoint, in transfers at full rate (the instance's part of [`warm_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
         let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
         let assignment = |shard: &Shard| ShardAssignment {
@@ -153,61 +154,68 @@
         self.shards.iter().map(assignment).collect()
     }
 
-    /// Whether [`ShardMap::split`] can be made; gives the shard's place.
+    /// Checks whether [`ShardMap::split`] is possible, and returns the shard's index.
     fn check_split(&self, start: u64, at: u64, most: usize) -> Result<usize, PlacementError> {
-        let no = |why| PlacementError::Change { start, why };
-        let place = self.find(start).ok_or(no("there is none"))?;
-        if self.shards[place].warming.is_some() {
-            return Err(no("it moves"));
+        let error = |why| PlacementError::Change { start, why };
+        let index = self.find(start).ok_or(error("no shard begins there"))?;
+        if self.shards[index].warming.is_some() {
+            return Err(error("it is moving"));
         }
-        if at <= start || self.shards.get(place + 1).is_some_and(|next| at >= next.start) {
-            return Err(no("the place of the cut is not within it"));
+        if at <= start || self.shards.get(index + 1).is_some_and(|next| at >= next.start) {
+            return Err(error("the split position is outside of it"));
         }
         if self.shards.len() >= most.min(MAX_SHARDS) {
-            return Err(no("there are as many shards as may be; raise most in shards()"));
+            return Err(error("the maximum number of shards is reached; raise most in shards()"));
         }
-        Ok(place)
+        Ok(index)
     }
 
-    /// Whether [`ShardMap::merge`] can be made; gives the first one's place.
+    /// Checks whether [`ShardMap::merge`] is possible, and returns the first shard's index.
     fn check_merge(&self, start: u64, next: u64) -> Result<usize, PlacementError> {
-        let no = |why| PlacementError::Change { start, why };
-        let place = self.find(start).ok_or(no("there is none"))?;
-        let this = &self.shards[place];
-        let next =
-            self.shards.get(place + 1).filter(|s| s.start == next).ok_or(no("its neighbour is another"))?;
+        let error = |why| PlacementError::Change { start, why };
+        let index = self.find(start).ok_or(error("no shard begins there"))?;
+        let this = &self.shards[index];
+        let next = self
+            .shards
+            .get(index + 1)
+            .filter(|s| s.start == next)
+            .ok_or(error("the next shard begins elsewhere"))?;
         if this.home != next.home {
-            return Err(no("its neighbour has another home"));
+            return Err(error("the next shard has another home"));
         }
         if this.warming.is_some() || next.warming.is_some() {
-            return Err(no("it or its neighbour moves"));
+            return Err(error("it or the next shard is moving"));
         }
-        Ok(place)
+        Ok(index)
     }
 
-    /// Splits the shard that begins at `start` in two at `at`. Both keep its home: no data moves.
+    /// Splits the shard that begins at `start` in two at `at`. Both parts keep its home, so no data moves.
     ///
     /// # Errors
-    /// [`PlacementError::Change`]: no such shard, it moves, `at` is not within it, or there would be over `most`.
+    /// [`PlacementError::Change`] if there is no such shard, it is moving, `at` is outside of it, or the map would have
+    /// more than `most` shards.
     pub fn split(&mut self, start: u64, at: u64, most: usize) -> Result<(), PlacementError> {
-        let place = self.check_split(start, at, most)?;
-        let second = Shard { start: at, ..self.shards[place].clone() };
-        self.shards.insert(place + 1, second);
+        let index = self.check_split(start, at, most)?;
+        let second = Shard { start: at, ..self.shards[index].clone() };
+        self.shards.insert(index + 1, second);
         Ok(())
     }
 
-    /// Makes the shard that begins at `start` one with its neighbour, which begins at `next` and has the same home:
-    /// no data moves.
+    /// Merges the shard that begins at `start` with the next one, which begins at `next` and has the same home, so no
+    /// data moves.
     ///
     /// # Errors
-    /// [`PlacementError::Change`]: no such neighbours, other homes, or one of them moves.
+    /// [`PlacementError::Change`] if there are no such neighbours, their homes differ, or one of them is moving.
     pub fn merge(&mut self, start: u64, next: u64) -> Result<(), PlacementError> {
-        let place = self.check_merge(start, next)?;
-        self.shards.remove(place + 1);
+        let index = self.check_merge(start, next)?;
+        self.shards.remove(index + 1);
         Ok(())
     }
 
-    /// Whether a requested change is still to be made: `Ok(false)` if it is done.
+    /// Returns whether a requested change is still pending: `Ok(false)` if the map already has it.
+    ///
+    /// # Errors
+    /// As [`ShardMap::split`] and [`ShardMap::merge`].
     pub(super) fn is_pending(&self, change: &Change, most: usize) -> Result<bool, PlacementError> {
         match *change {
             Change::Split { at, .. } if self.find(at).is_some() => Ok(false),
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Placement of shards: the map of each zone's shards and their homes, and moves in quiet hours.
+//! Placement of shards: the map of each zone's shards and their homes, and moves in quiet windows.
 //!
-//! The registry holds the truth: a map and a plan of moves for each zone. Every instance follows its zone's map
-//! ([`follow`]); the one that holds the planner's lease changes it ([`planner`], which asks [`rebalance`] what to move and
-//! [`quiet`] when). None of these modules has a clock or does I/O, but for [`snapshot`]; `proxy::rebalancing` owns them.
+//! The registry is the source of truth, with a map and a plan of moves for each zone. Every instance follows its zone's
+//! map ([`follow`]). The instance that holds the planner's lease changes it ([`planner`]): [`rebalance`] chooses the
+//! moves, and [`quiet`] says when they may be made. None of these modules reads a clock, and only [`snapshot`] does I/O;
+//! `proxy::rebalancing` owns them.
 
 mod document;
 pub mod error;
@@ -20,41 +21,41 @@
 use std::path::PathBuf;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Where an object stands in the space that shards divide. Instances of all versions must agree on it: the seed is
-/// part of the format of the map.
+/// Returns an object's position in the hash space that shards divide. Instances of all versions must agree on it: the
+/// seed is part of the format of the map.
 pub fn position(object: u64) -> u64 {
     xxh3_64_with_seed(&object.to_le_bytes(), 0x5a_7d)
 }
 
-/// What `shards(...)` of the product's script sets. Times in microseconds.
+/// Settings of `shards(...)` in the product's script. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The members of the registry that holds map, moves and growth.
+    /// Addresses of the members of the registry that holds the maps, plans of moves and growth documents.
     pub endpoints: Vec<SocketAddr>,
-    /// Keys below it are this fleet's; ends with `/`.
+    /// Prefix of this fleet's keys in the registry; ends with `/`.
     pub prefix: String,
-    /// Shards of each zone at first.
+    /// Initial number of shards of each zone.
     pub first: usize,
-    /// Most shards of a zone.
+    /// Maximum number of shards of a zone.
     pub most: usize,
-    /// How far above the mean an endpoint's load or cached bytes may be before something moves, 0 to 1.
+    /// How far an endpoint's load or cached bytes may exceed the mean before shards move, as a fraction from 0 to 1.
     pub spread: f64,
-    /// Most moves in one window of a zone.
+    /// Maximum number of moves in one window of a zone.
     pub moves: usize,
-    /// Most kilobytes moved in one window of a zone.
+    /// Maximum number of kilobytes moved in one window of a zone.
     pub move_kb: f64,
-    /// Part of the zone's link in that warming may take, 0 to 1.
+    /// Fraction of the zone's inbound link that warming may use, 0 to 1.
     pub warm: f64,
-    /// How long the planner's lease lasts without being kept alive.
+    /// Time to live of the planner's lease without a keepalive.
     pub lease: Micros,
-    /// Most that clocks in the fleet may differ for a move to begin.
+    /// Maximum difference between the clocks of the fleet at which a move may begin.
     pub skew: Micros,
-    /// The folder for the last good map, moves and buckets, if they are kept on disk.
+    /// Folder for snapshots of the last good map, if they are stored on disk.
     pub snapshot: Option<PathBuf>,
 }
 
 impl Settings {
-    /// One at these endpoints, below this prefix, and all else as usual.
+    /// Returns the default settings for a registry and a key prefix.
     pub fn new(endpoints: Vec<SocketAddr>, prefix: &str) -> Self {
         Settings {
             endpoints,
--- a/src/placement/moves.rs
+++ b/src/placement/moves.rs
@@ -1,5 +1,5 @@
-//! The plan of a zone's moves, as it stands in the registry beside the map: all that the next planner needs. Only the
-//! planner reads and writes it.
+//! The plan of a zone's moves, stored in the registry beside the map. With the map it holds the whole state that the
+//! next planner needs; only the planner reads and writes it.
 
 #[cfg(test)]
 mod tests;
@@ -9,117 +9,117 @@
 use crate::routing::events::Id;
 use serde::{Deserialize, Serialize};
 
-/// Most moves that are planned at once.
+/// Maximum number of planned moves.
 pub const MAX_MOVES: usize = 1_000;
-/// Most splits and merges that wait.
+/// Maximum number of pending splits and merges.
 pub const MAX_CHANGES: usize = 4_096;
-/// Most shards that rest; beyond, those whose rest ends first may move again.
+/// Maximum number of resting shards; beyond it, the shard whose rest ends first may move again.
 pub const MAX_RESTING: usize = 2_048;
 const KIND: Kind = Kind { tag: b'P', name: "plan of moves" };
 
-/// How far a move has come. It is settled once its entry is gone, or rolled back.
+/// Progress of a move. A completed or rolled-back move has no entry.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Step {
     /// Not begun.
     Planned,
-    /// The next home is filled with a bounded share of the shard's requests.
+    /// The target's cache is being filled with a bounded share of the shard's requests.
     Warming {
-        /// The map's epoch that says so.
+        /// Map epoch that began the warming.
         epoch: u32,
-        /// When it began, Unix milliseconds.
+        /// Beginning of the warming, in Unix milliseconds.
         since_ms: u64,
-        /// How long it has to last, in milliseconds.
+        /// Required duration of the warming, in milliseconds.
         needs_ms: u64,
     },
-    /// The new home is the home, and not every instance has applied that yet.
+    /// The target is the shard's home in the map, but not every instance has applied that epoch yet.
     Cutover {
-        /// The map's epoch that says so.
+        /// Map epoch with the new home.
         epoch: u32,
     },
 }
 
-/// One shard on its way from its home to another endpoint.
+/// A planned or active move of a shard to another endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Move {
-    /// Where the shard begins.
+    /// Start of the shard.
     pub start: u64,
-    /// Its home; `None`: the order of the hash.
+    /// Home of the shard; `None` if the hash order decides.
     pub from: Option<Id>,
-    /// Its next home.
+    /// Target: the shard's next home.
     pub to: Id,
-    /// What is to be filled there.
+    /// Kilobytes to fill at the target.
     pub kb: u64,
-    /// How far it has come.
+    /// Progress of the move.
     pub step: Step,
 }
 
 /// A change of the map that moves no data.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Change {
-    /// The shard that begins at `start` becomes two.
+    /// Splits the shard that begins at `start` in two.
     Split {
-        /// The shard.
+        /// Start of the shard.
         start: u64,
-        /// Where the second begins.
+        /// Start of the second part.
         at: u64,
-        /// Not before this moment, Unix milliseconds: the window that it was scheduled for.
+        /// Beginning of the window for which the split is scheduled, in Unix milliseconds; not applied earlier.
         not_before_ms: u64,
     },
-    /// The shard that begins at `start` and its neighbour become one.
+    /// Merges the shard that begins at `start` with the next one.
     Merge {
-        /// The shard.
+        /// Start of the shard.
         start: u64,
-        /// Where its neighbour begins.
+        /// Start of the next shard.
         next: u64,
     },
 }
 
 impl Change {
-    /// Whether its time has come.
+    /// Returns whether the change may be applied at this time.
     pub(super) fn is_due(&self, unix_ms: u64) -> bool {
         !matches!(self, Change::Split { not_before_ms, .. } if *not_before_ms > unix_ms)
     }
 }
 
-/// A shard that has moved, and does not move again for now.
+/// A shard that must not move again before a given time, because it has recently moved or been rolled back.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct RestingShard {
-    /// Where it begins.
+    /// Start of the shard.
     pub start: u64,
-    /// Until when, Unix milliseconds.
+    /// End of the rest, in Unix milliseconds.
     pub until_ms: u64,
 }
 
-/// The document.
+/// The plan of moves of a zone.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Moves {
-    /// The latest epoch of the map when this was written: should the map be lost, the next one is above it.
+    /// Latest map epoch when the plan was written. If the map is lost, the epoch of the next one is above it.
     pub epoch: u32,
-    /// When the window ends that moves were last begun in, Unix milliseconds.
+    /// End of the window in which moves last began, in Unix milliseconds.
     pub window_ends_ms: u64,
-    /// Moves begun in it.
+    /// Number of moves begun in that window.
     pub begun: u32,
-    /// Their kilobytes.
+    /// Total size of the moves begun in that window, in kilobytes.
     pub begun_kb: u64,
-    /// In the order in which they are made, one at a time.
+    /// Planned and active moves, in the order in which they are made, one at a time.
     pub moves: Vec<Move>,
-    /// Shards that have moved.
+    /// Shards that must not move for now.
     pub resting: Vec<RestingShard>,
-    /// Splits and merges that wait for their time.
+    /// Pending splits and merges.
     pub changes: Vec<Change>,
 }
 
 impl Moves {
-    /// Its document.
+    /// Encodes the plan as a document.
     pub fn encode(&self) -> Vec<u8> {
         encode(KIND, self)
     }
 
-    /// Reads the document.
+    /// Decodes a document.
     ///
     /// # Errors
-    /// [`PlacementError::Torn`], [`PlacementError::Format`], and [`PlacementError::Broken`] for one past its bounds or
-    /// with two moves begun.
+    /// [`PlacementError::Torn`], [`PlacementError::Format`], and [`PlacementError::Broken`] for a plan with too many
+    /// entries or with two active moves.
     pub fn decode(bytes: &[u8]) -> Result<Moves, PlacementError> {
         let moves: Moves = decode(KIND, bytes)?;
         let broken = |why| Err(PlacementError::Broken { what: KIND.name, why });
@@ -127,32 +127,33 @@
             || moves.changes.len() > MAX_CHANGES
             || moves.resting.len() > MAX_RESTING
         {
-            return broken("more entries than may be");
+            return broken("too many entries");
         }
         if moves.moves.iter().filter(|planned| planned.step != Step::Planned).count() > 1 {
-            return broken("two moves are begun");
+            return broken("more than one active move");
         }
         Ok(moves)
     }
 
-    /// The move that is begun.
+    /// Returns the move that has begun, if any.
     pub fn active(&self) -> Option<&Move> {
         self.moves.iter().find(|planned| planned.step != Step::Planned)
     }
 
-    /// Whether a shard rests; a rest that ends later than `longest_ms` from now was written by a clock that was ahead.
+    /// Returns whether a shard rests. A rest that ends more than `longest_ms` from now was written by a clock that was
+    /// ahead, and is ignored.
     pub(super) fn is_resting(&self, start: u64, unix_ms: u64, longest_ms: u64) -> bool {
         self.resting.iter().any(|resting| {
             resting.start == start && resting.until_ms > unix_ms && resting.until_ms - unix_ms <= longest_ms
         })
     }
 
-    /// A shard rests until a moment; rests that are over are forgotten.
+    /// Adds a rest of a shard until `until_ms`, and removes rests that have ended.
     pub(super) fn rest(&mut self, start: u64, until_ms: u64, unix_ms: u64) {
         self.resting.retain(|resting| resting.start != start && resting.until_ms > unix_ms);
         if self.resting.len() >= MAX_RESTING {
-            let first = (0..self.resting.len()).min_by_key(|&at| self.resting[at].until_ms);
-            first.map(|at| self.resting.swap_remove(at));
+            let first_ending = (0..self.resting.len()).min_by_key(|&at| self.resting[at].until_ms);
+            first_ending.map(|at| self.resting.swap_remove(at));
         }
         self.resting.push(RestingShard { start, until_ms });
     }
