--- a/src/placement/rebalance.rs
+++ b/src/placement/rebalance.rs
@@ -1,8 +1,9 @@
-//! Which shards to move: few kilobytes that bring the endpoints' load and cached bytes within the spread.
+//! Choice of the shards to move: moves of few kilobytes that bring the endpoints' load and cached bytes within the
+//! spread.
 //!
-//! The least is a packing problem. Three greedy orders are tried, each result is thinned and its moves replaced by
-//! cheaper ones, and the best is taken; how far that is from the least is stated and checked by the tests. The planner
-//! calls it, on what was measured.
+//! Finding the minimum is a packing problem. Three greedy orders are tried, needless moves are removed from each result
+//! and others replaced by cheaper ones, and the best result is taken. The tests state and check how far it is from the
+//! minimum. The planner calls [`rebalance`] with measured loads.
 
 mod balance;
 #[cfg(test)]
@@ -11,64 +12,65 @@
 use self::balance::{Balance, GreedyOrder};
 use crate::routing::events::Id;
 
-/// Part of the spread that is left free when endpoints are brought back within it, so that they stay there.
+/// Fraction of the spread that moves leave unused, so that endpoints stay within the spread afterwards.
 const SPREAD_MARGIN: f64 = 0.25;
-/// Excess below this is rounding, as a part of all load or bytes.
+/// Excess up to which a value counts as a rounding error, as a fraction of all load or bytes.
 const ROUNDING: f64 = 1e-9;
-/// Excess is compared in steps of this part of all load or bytes: what the arithmetic leaves over is none.
+/// Number of steps per unit of excess in comparisons, which hides rounding errors; the unit is all load or bytes.
 const EXCESS_STEPS: f64 = 1e6;
 
-/// A cache of the zone.
+/// State and capacity of a cache of the zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointCapacity {
-    /// Its name.
+    /// Name of the endpoint.
     pub id: Id,
-    /// Its size; one that is not set counts as 1.
+    /// Capacity weight; a value that is not positive and finite counts as 1.
     pub weight: f64,
-    /// It is listed and accepts requests. If not: its shards stay, the order of the hash decides, nothing goes there.
+    /// Whether the endpoint is listed and accepts requests. If not, it keeps its shards, whose requests follow the hash
+    /// order, and no shard moves to it.
     pub accepts_requests: bool,
-    /// It is still in slow start itself: nothing goes there.
+    /// Whether the endpoint is in slow start; if so, no shard moves to it.
     pub in_slow_start: bool,
-    /// What it has to spare, in KB a second.
+    /// Spare bandwidth, in KB per second.
     pub spare_kb_s: f64,
 }
 
-/// A shard as measured.
+/// Measured load of a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardLoad {
-    /// Its home by place in the list of endpoints; `None`: the order of the hash.
+    /// Index of the home in the list of endpoints; `None` if the hash order decides.
     pub home: Option<usize>,
-    /// Its load, in any one unit.
+    /// Request load, in the same unit for all shards.
     pub load: f64,
-    /// What an endpoint caches of it, in KB.
+    /// Bytes that an endpoint caches of the shard, in KB.
     pub kb: f64,
-    /// It must not move now.
+    /// Whether the shard must not move now.
     pub rests: bool,
 }
 
-/// A move that is worth its kilobytes.
+/// A chosen move.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardMove {
-    /// The shard's place in the list.
+    /// Index of the shard in the list.
     pub shard: usize,
-    /// The endpoint's place in the list.
+    /// Index of the target endpoint in the list.
     pub to: usize,
-    /// What has to be filled.
+    /// Kilobytes to fill at the target.
     pub kb: f64,
 }
 
-/// What moves may take.
+/// Limits on moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveLimits {
-    /// How far above the mean the load or cached bytes of an endpoint may be.
+    /// How far an endpoint's load or cached bytes may exceed the mean, as a fraction of the mean.
     pub spread: f64,
-    /// Most moves.
+    /// Maximum number of moves.
     pub moves: usize,
-    /// Most kilobytes.
+    /// Maximum number of kilobytes.
     pub kb: f64,
 }
 
-/// Moves, and what they leave.
+/// The moves of one greedy order, and the excess that remains after them.
 struct Attempt {
     excess: f64,
     kb: f64,
@@ -80,19 +82,19 @@
         let mut balance = balance.clone();
         let homes_before = balance.homes().to_vec();
         let mut moves = balance.greedy(order, limits);
-        balance.thin(&mut moves, &homes_before);
+        balance.remove_needless_moves(&mut moves, &homes_before);
         Attempt { excess: balance.excess(), kb: moves.iter().map(|chosen| chosen.kb).sum(), moves }
     }
 
-    /// Less excess comes first, then fewer kilobytes.
+    /// Orders attempts by less excess, then by fewer kilobytes.
     fn compare(&self, other: &Attempt) -> std::cmp::Ordering {
-        let steps = |excess: f64| (excess * EXCESS_STEPS) as u64;
-        steps(self.excess).cmp(&steps(other.excess)).then(self.kb.total_cmp(&other.kb))
+        let to_steps = |excess: f64| (excess * EXCESS_STEPS) as u64;
+        to_steps(self.excess).cmp(&to_steps(other.excess)).then(self.kb.total_cmp(&other.kb))
     }
 }
 
-/// What to move, in the order in which to do it. Nothing while no endpoint is above the spread; a shard without a home
-/// gets one where that keeps all within, which fills the homes of a first map night by night.
+/// Returns the moves to make, in order. While no endpoint is above the spread, only shards without a home move: each gets
+/// a home where the endpoint stays within the spread, so that the shards of a first map get their homes window by window.
 /// Equal inputs give equal moves. The load of shards whose home accepts no requests counts as spread over all endpoints.
 pub fn rebalance(
     shards: &[ShardLoad],
@@ -106,8 +108,8 @@
         let attempts = orders.map(|order| Attempt::new(&balance, order, limits));
         let best = attempts.into_iter().min_by(Attempt::compare).map_or(Vec::new(), |best| best.moves);
         if !best.is_empty() {
-            return balance.into_order(best);
+            return balance.order_moves(best);
         }
     }
-    balance.adopt(limits)
+    balance.assign_homes(limits)
 }
--- a/src/placement/rebalance/balance.rs
+++ b/src/placement/rebalance/balance.rs
@@ -1,33 +1,34 @@
-//! The load and cached bytes of each endpoint while moves are tried.
+//! Load and cached bytes of each endpoint while moves are tried, and the greedy search for moves.
 
 use super::{EndpointCapacity, MoveLimits, ShardLoad, ShardMove, ROUNDING};
 use std::cmp::Ordering;
 
-/// Least filled endpoints that are considered as the target of a move.
+/// Maximum number of endpoints considered as the target of a move: the least filled ones.
 const MAX_TARGETS: usize = 8;
-/// Shards of one endpoint that are considered for each move: beyond, those with the most load for a kilobyte.
+/// Maximum number of shards of one endpoint considered for each move; of more, those with the most load per kilobyte.
 const MAX_CANDIDATES: usize = 256;
-/// Least excess that a move has to take away, as a part of all load or bytes.
+/// Minimum reduction of the excess by a move, as a fraction of all load or bytes.
 const MIN_GAIN: f64 = 1e-7;
-/// Excess below this is rounding when it is compared with a limit.
+/// Tolerance for rounding errors when excess is compared with a limit, as a fraction of all load or bytes.
 const LIMIT_ROUNDING: f64 = 1e-12;
-/// Largest load or bytes that are told apart.
+/// Upper bound to which measured loads and sizes are clipped.
 const MAX_MEASURE: f64 = 1e18;
-/// Score of a move that brings its endpoint within the spread at once: above any gain.
+/// Score of a move that alone brings its endpoint within the spread; above any gain.
 const SETTLING_SCORE: f64 = 2.0;
 
-/// Which move a greedy search prefers.
+/// Preference of a greedy search among moves.
 #[derive(Clone, Copy)]
 pub(super) enum GreedyOrder {
-    /// Most excess taken away for a kilobyte.
+    /// Prefers the largest reduction of the excess per kilobyte.
     GainPerKb,
-    /// Most excess taken away.
+    /// Prefers the largest reduction of the excess.
     Gain,
-    /// The fewest kilobytes that bring the endpoint within the spread at once, else the most excess.
+    /// Prefers a single move of the fewest kilobytes that brings the endpoint within the spread, else the largest
+    /// reduction of the excess.
     SingleMove,
 }
 
-/// Load and cached bytes, as parts of the whole.
+/// Load and cached bytes, as fractions of all load and of all bytes.
 #[derive(Clone, Copy, Default)]
 struct Share {
     load: f64,
@@ -48,7 +49,7 @@
     }
 }
 
-/// A move that is considered; of two the one with the greater score is preferred, then the one of fewer kilobytes.
+/// A considered move; a higher score is preferred, then fewer kilobytes.
 #[derive(Clone, Copy)]
 struct Candidate {
     score: f64,
@@ -64,23 +65,24 @@
     }
 }
 
+/// The distribution of shards over endpoints, with the load and bytes that result.
 #[derive(Clone)]
 pub(super) struct Balance<'a> {
     shards: &'a [ShardLoad],
     endpoints: &'a [EndpointCapacity],
-    /// By shard; `None`: the order of the hash spreads it over all endpoints.
+    /// Home of each shard; `None` if the hash order spreads the shard over all endpoints.
     homes: Vec<Option<usize>>,
-    /// Each endpoint's part of the whole capacity, 0 for one that accepts no requests.
+    /// Each endpoint's fraction of the whole capacity, 0 if it accepts no requests.
     parts: Vec<f64>,
-    /// By endpoint.
+    /// Load and bytes of each endpoint.
     used: Vec<Share>,
-    /// By shard.
+    /// Load and bytes of each shard.
     sizes: Vec<Share>,
-    /// How full an endpoint may be against its part.
+    /// Maximum fill of an endpoint, relative to its fraction of the capacity.
     limit: f64,
 }
 
-/// A measure that can be reckoned with: 0 for what is no number, or below 0.
+/// Returns a finite measure: 0 for NaN, infinite and negative values, and at most [`MAX_MEASURE`].
 fn sanitized(value: f64) -> f64 {
     if value.is_finite() && value > 0.0 {
         value.min(MAX_MEASURE)
@@ -114,8 +116,7 @@
             load: sanitized(shard.load) / total_load,
             kb: sanitized(shard.kb) / total_kb,
         };
-        // A shard without a home, or with one that accepts no requests, is where the order of the hash puts it:
-        // everywhere.
+        // The hash order spreads a shard over all endpoints if it has no home or its home accepts no requests.
         let accepts = |&home: &usize| parts.get(home).is_some_and(|&part| part > 0.0);
         let homes = shards.iter().map(|shard| shard.home.filter(accepts)).collect();
         let sizes = shards.iter().map(size).collect();
@@ -138,23 +139,23 @@
         }
     }
 
-    /// By shard.
+    /// Returns the home of each shard.
     pub(super) fn homes(&self) -> &[Option<usize>] {
         &self.homes
     }
 
-    /// Endpoints that accept requests.
+    /// Returns the endpoints that accept requests.
     fn accepting(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.parts.len()).filter(|&endpoint| self.parts[endpoint] > 0.0)
     }
 
-    /// How full an endpoint is against its part.
+    /// Returns how full an endpoint is, relative to its fraction of the capacity.
     fn fill(&self, endpoint: usize) -> f64 {
         let used = self.used[endpoint];
         used.load.max(used.kb) / self.parts[endpoint].max(f64::MIN_POSITIVE)
     }
 
-    /// How full the fullest endpoint is against its part.
+    /// Returns the fill of the fullest endpoint, relative to its fraction of the capacity.
     pub(super) fn fullest(&self) -> f64 {
         self.accepting().map(|endpoint| self.fill(endpoint)).fold(0.0, f64::max)
     }
@@ -168,12 +169,12 @@
         self.excess_with(endpoint, self.used[endpoint])
     }
 
-    /// What all endpoints have above the limit, as parts of all load and bytes.
+    /// Returns the total load and bytes of all endpoints above the limit, as a fraction of all load and bytes.
     pub(super) fn excess(&self) -> f64 {
         self.accepting().map(|endpoint| self.excess_of(endpoint)).sum()
     }
 
-    /// How much less excess there is with a shard of endpoint `from` at `to`.
+    /// Returns by how much moving a shard of this size from endpoint `from` to `to` reduces the excess.
     fn gain(&self, size: Share, from: usize, to: usize) -> f64 {
         let less = self.used[from].minus(size);
         let more = self.used[to].plus(size);
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The least filled endpoints that may take a shard.
+    /// Returns the least filled endpoints to which a shard may move, at most `most`.
     fn targets(&self, most: usize) -> Vec<usize> {
         let mut targets: Vec<usize> =
             self.accepting().filter(|&endpoint| !self.endpoints[endpoint].in_slow_start).collect();
@@ -209,7 +210,8 @@
         sanitized(self.shards[shard].kb).max(1.0)
     }
 
-    /// Moves shards of the fullest endpoints, one after another.
+    /// Repeatedly moves a shard from the fullest endpoint above the limit, until no move is left or the limits are
+    /// reached. Returns the moves.
     pub(super) fn greedy(&mut self, order: GreedyOrder, limits: &MoveLimits) -> Vec<ShardMove> {
         let mut candidates = self.movable_shards();
         let mut is_stuck = vec![false; self.parts.len()];
@@ -229,7 +231,8 @@
         moves
     }
 
-    /// The shards of each endpoint that may move, where there are many those with the most load for a kilobyte first.
+    /// Returns the movable shards of each endpoint; of an endpoint with more than [`MAX_CANDIDATES`], those with the most
+    /// load per kilobyte come first.
     fn movable_shards(&self) -> Vec<Vec<usize>> {
         let mut movable: Vec<Vec<usize>> = vec![Vec::new(); self.parts.len()];
         for (shard, home) in self.homes.iter().enumerate() {
@@ -280,11 +283,15 @@
         best
     }
 
-    /// Takes moves back that are not needed, and puts a cheaper shard of the same endpoint in another's place.
-    pub(super) fn thin(&mut self, moves: &mut Vec<ShardMove>, homes_before: &[Option<usize>]) {
+    /// Removes moves without which the excess stays as low, and replaces a shard by a cheaper one of the same endpoint.
+    pub(super) fn remove_needless_moves(
+        &mut self,
+        moves: &mut Vec<ShardMove>,
+        homes_before: &[Option<usize>],
+    ) {
         let most = self.excess() + LIMIT_ROUNDING;
         if most > ROUNDING {
-            return; // some endpoint is still above the limit: no move is too many
+            return; // an endpoint is still above the limit, so no move is needless
         }
         moves.sort_by(|a, b| b.kb.total_cmp(&a.kb).then(a.shard.cmp(&b.shard)));
         let mut at = 0;
@@ -304,7 +311,8 @@
         }
     }
 
-    /// The cheapest shard of an endpoint, below so many kilobytes, that brings the excess down as well; and where to.
+    /// Returns the cheapest shard of endpoint `from`, smaller than `kb` kilobytes, and a target, with which the excess is
+    /// at most `most_excess`.
     fn cheaper_move(
         &self,
         from: usize,
@@ -312,11 +320,11 @@
         most_excess: f64,
         homes_before: &[Option<usize>],
     ) -> Option<(usize, usize)> {
-        let is_here = |shard: usize| {
+        let is_replacement = |shard: usize| {
             self.homes[shard] == Some(from) && homes_before[shard] == Some(from) && !self.shards[shard].rests
         };
         let mut cheaper: Vec<usize> =
-            (0..self.shards.len()).filter(|&shard| is_here(shard) && self.kb(shard) < kb).collect();
+            (0..self.shards.len()).filter(|&shard| is_replacement(shard) && self.kb(shard) < kb).collect();
         cheaper.sort_by(|&a, &b| self.kb(a).total_cmp(&self.kb(b)).then(a.cmp(&b)));
         let excess = self.excess();
         let targets = self.targets(MAX_TARGETS);
@@ -325,9 +333,9 @@
             .find(|&(shard, to)| to != from && excess - self.gain(self.sizes[shard], from, to) <= most_excess)
     }
 
-    /// Most excess taken away for a kilobyte first: a window may end before all moves are made, and what it cuts off has
-    /// to be what matters least, as a shard that was moved rests a day.
-    pub(super) fn into_order(mut self, mut moves: Vec<ShardMove>) -> Vec<ShardMove> {
+    /// Orders moves by the largest reduction of the excess per kilobyte. A window may end before all moves are made; the
+    /// moves it cuts off should matter least, because a shard that has moved rests for a day.
+    pub(super) fn order_moves(mut self, mut moves: Vec<ShardMove>) -> Vec<ShardMove> {
         let mut ordered = Vec::with_capacity(moves.len());
         loop {
             let rates = moves.iter().map(|chosen| self.gain_per_kb(chosen)).enumerate();
@@ -346,9 +354,10 @@
         }
     }
 
-    /// Gives shards without a home one. Few large shards put an endpoint above the rest while the others have no home
-    /// yet; what counts is that it will be within the limit once all have one.
-    pub(super) fn adopt(mut self, limits: &MoveLimits) -> Vec<ShardMove> {
+    /// Assigns homes to shards without one. While other shards have no home yet, a few large ones can put an endpoint
+    /// above the mean; what counts is that its own shards alone keep it within the limit, as they will once all shards
+    /// have homes.
+    pub(super) fn assign_homes(mut self, limits: &MoveLimits) -> Vec<ShardMove> {
         let mut moves = Vec::new();
         let mut kb_left = limits.kb;
         let mut homed = self.homed_shares();
@@ -357,7 +366,7 @@
                 break;
             }
             let kb = self.kb(shard);
-            // A home that is known and accepts no requests now is kept: it may be back at once.
+            // A shard keeps a home that accepts no requests now: the endpoint may accept requests again soon.
             if self.shards[shard].home.is_some() || self.shards[shard].rests || kb > kb_left {
                 continue;
             }
@@ -374,7 +383,7 @@
         moves
     }
 
-    /// What each endpoint is the home of.
+    /// Returns the load and bytes of the shards of which each endpoint is the home.
     fn homed_shares(&self) -> Vec<Share> {
         let mut homed = vec![Share::default(); self.parts.len()];
         for (home, &size) in self.homes.iter().zip(&self.sizes) {
