--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -1,5 +1,6 @@
-//! The planner's look ahead for one zone: documents of growth in, and by slices out of them what of each shard is cached
-//! and requested, and the splits and merges to make. `proxy::rebalancing` owns one for each zone and steps it.
+//! Growth forecast of one zone at the planner: merges the instances' growth documents and, in slices, computes each
+//! shard's load and cached bytes and the splits and merges to make. `proxy::rebalancing` owns one for each zone and steps
+//! it.
 
 #[cfg(test)]
 mod tests;
@@ -14,121 +15,134 @@
 use crate::placement::rebalance::EndpointCapacity;
 use std::collections::BTreeSet;
 
-/// Cells of the history, and shards, that one slice takes.
+/// Number of history cells processed in one slice.
 const SLICE_CELLS: usize = 2;
-/// See above.
+/// Number of shards forecast in one slice.
 const SLICE_SHARDS: usize = 200;
 
-/// Documents removed in one transaction: with the base that takes their place, fewer than a registry's bound of 128.
-const MOST_OLD: usize = 100;
+/// Maximum number of documents removed in one transaction. With the base document that replaces them, it stays below the
+/// registry's limit of 128 operations.
+const MAX_REMOVED: usize = 100;
 
-/// Longest move that is told apart, in milliseconds.
+/// Upper bound on the computed duration of a move, in milliseconds.
 const MAX_MOVE_MS: f64 = 1e15;
-/// Weeks ahead that are asked whether a site's loss could be borne.
+/// Number of weeks for which the loss of a site is checked against the forecast load.
 pub const WEEKS: u64 = 8;
 
-/// Documents that one other takes the place of.
+/// Replacement of old documents by one base document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Old {
-    /// Key and value of that one: it holds all of them, and is to be written as they are removed.
+    /// Key and value of the base document, which includes the removed ones; written in the transaction that removes them.
     pub base: (String, Vec<u8>),
-    /// Their keys.
+    /// Keys of the documents to remove.
     pub keys: Vec<String>,
 }
 
-/// A look ahead that is under way.
+/// A forecast in progress.
 #[derive(Clone, Debug)]
 struct Job {
     shards: Vec<Shard>,
     windows: Vec<Window>,
+    /// Rate of warming during a move, in KB per second.
     kb_s: f64,
+    /// Work of each shard.
     work: Vec<f64>,
     cells: Vec<Cell>,
     forecasts: Vec<(Shard, Forecast)>,
     loads: Vec<MeasuredShard>,
-    troubles: BTreeSet<u64>,
+    /// Starts of the shards with a notice.
+    problems: BTreeSet<u64>,
 }
 
-/// All that a planner knows of one zone's growth.
+/// The growth of one zone as known to the planner, with its forecast and split schedule.
 #[derive(Clone, Debug)]
 pub struct Ahead {
     settings: Settings,
     zone: String,
     merged: Merged,
     scheduler: Scheduler,
-    adopted: bool,
+    /// Whether the stored schedule has been read.
+    schedule_read: bool,
     job: Option<Job>,
     loads: Vec<MeasuredShard>,
     requested_changes: Option<Vec<Change>>,
-    /// The schedule, where it differs from the one that was read.
+    /// The schedule to write, if it differs from the stored one.
     schedule: Option<Vec<u8>>,
-    kept: Option<Vec<u8>>,
-    /// Shards with a problem that was logged: each is logged once while it lasts.
+    /// The schedule as stored in the registry.
+    stored_schedule: Option<Vec<u8>>,
+    /// Shards with a logged problem: each problem is logged once while it lasts.
     logged: BTreeSet<u64>,
     weeks: Vec<f64>,
 }
 
 impl Ahead {
-    /// For one zone, without any history.
+    /// Returns a planner for one zone, without any history.
     pub fn new(settings: Settings, zone: &str) -> Self {
         Ahead {
             merged: Merged::new(&settings),
             scheduler: Scheduler::new(settings.clone()),
             settings,
             zone: zone.to_owned(),
-            adopted: false,
+            schedule_read: false,
             job: None,
             loads: Vec::new(),
             requested_changes: None,
             schedule: None,
-            kept: None,
+            stored_schedule: None,
             logged: BTreeSet::new(),
             weeks: Vec::new(),
         }
     }
 
-    /// Below it lie the documents of a zone's growth.
+    /// Returns the key prefix of a zone's growth documents.
     pub fn below(zone: &str) -> String {
         format!("growth/{zone}/")
     }
 
-    /// Where the schedule of splits is kept.
+    /// Returns the key of a zone's split schedule.
     pub fn schedule_key(zone: &str) -> String {
         Scheduler::key(zone)
     }
 
-    /// Takes a document, once or often, in any order.
+    /// Merges a document. Documents may come repeatedly and in any order.
     ///
     /// # Errors
-    /// It can't be read, or its writer's clock is ahead; all else stays as it was.
+    /// The document can't be decoded, or its bucket is in the future; nothing is merged then.
     pub fn document(&mut self, bytes: &[u8], now_ms: u64) -> Result<(), GrowthError> {
         self.merged.take(&Document::decode(bytes)?, now_ms)
     }
 
-    /// Whether no look ahead is under way.
+    /// Returns whether no forecast is in progress.
     pub fn done(&self) -> bool {
         self.job.is_none()
     }
 
-    /// Begins to look ahead. `kb_s`: how fast a move is warmed; `work`: what is asked for; `kept`: the schedule as it
-    /// stands in the registry, with which a planner that has just begun goes on.
+    /// Begins a forecast. `kb_s` is the rate of warming during a move, in KB per second; `work` is the measured work of the
+    /// zone; `stored_schedule` is the schedule stored in the registry, with which a new planner continues.
+    ///
+    /// # Errors
+    /// The stored schedule can't be decoded; the forecast begins without it.
     #[allow(clippy::too_many_arguments)]
     pub fn begin(
         &mut self,
         map: &ShardMap,
-        places: &[EndpointCapacity],
+        endpoints: &[EndpointCapacity],
         windows: &[Window],
         kb_s: f64,
         work: &Work,
-        kept: Option<&[u8]>,
+        stored_schedule: Option<&[u8]>,
     ) -> Result<(), GrowthError> {
-        let adopted = std::mem::replace(&mut self.adopted, true);
-        let read = kept.filter(|_| !adopted).map(|k| Scheduler::decode(self.settings.clone(), k)).transpose();
-        self.kept = kept.map(<[u8]>::to_vec);
-        let least = places.iter().map(|p| p.weight).filter(|w| *w > 0.0).fold(f64::INFINITY, f64::min);
+        let schedule_read = std::mem::replace(&mut self.schedule_read, true);
+        let read = stored_schedule
+            .filter(|_| !schedule_read)
+            .map(|k| Scheduler::decode(self.settings.clone(), k))
+            .transpose();
+        self.stored_schedule = stored_schedule.map(<[u8]>::to_vec);
+        let min_weight =
+            endpoints.iter().map(|p| p.weight).filter(|w| *w > 0.0).fold(f64::INFINITY, f64::min);
         let weight = |s: &crate::placement::map::Shard| {
-            let home = places.iter().find(|p| Some(&p.id) == s.home.as_ref()).map(|p| p.weight);
-            home.filter(|w| *w > 0.0).unwrap_or(if least.is_finite() { least } else { 1.0 })
+            let home = endpoints.iter().find(|p| Some(&p.id) == s.home.as_ref()).map(|p| p.weight);
+            home.filter(|w| *w > 0.0).unwrap_or(if min_weight.is_finite() { min_weight } else { 1.0 })
         };
         let ends = map.shards.iter().skip(1).map(|s| s.start - 1).chain([u64::MAX]);
         let shard = |(s, last): (&crate::placement::map::Shard, u64)| Shard {
@@ -144,12 +158,12 @@
         }
         self.scheduler.follow(&shards);
         let (windows, cells, forecasts, loads) = (windows.to_vec(), Vec::new(), Vec::new(), Vec::new());
-        let troubles = BTreeSet::new();
-        self.job = Some(Job { shards, windows, kb_s, work, cells, forecasts, loads, troubles });
+        let problems = BTreeSet::new();
+        self.job = Some(Job { shards, windows, kb_s, work, cells, forecasts, loads, problems });
         read.map(drop)
     }
 
-    /// One slice of the look ahead; what is to be logged.
+    /// Runs one slice of the forecast, and returns notices to log.
     pub fn step(&mut self, now_ms: u64) -> Vec<Notice> {
         let Some(mut job) = self.job.take() else { return Vec::new() };
         if job.cells.len() < CELLS {
@@ -167,7 +181,7 @@
         notices
     }
 
-    /// Forecasts the next shards; a problem with a shard is logged once while it lasts.
+    /// Forecasts the next shards. A problem with a shard is logged once while it lasts.
     fn forecast_slice(&mut self, job: &mut Job, now_ms: u64) -> Vec<Notice> {
         let mut notices = Vec::new();
         for at in (job.forecasts.len()..job.shards.len()).take(SLICE_SHARDS) {
@@ -177,7 +191,7 @@
             let forecast = Forecast::of(&series, &self.settings);
             let move_ms = half_move_ms(kb, job.kb_s);
             if let Some(notice) = self.scheduler.plan(now_ms, &shard, &forecast, &job.windows, move_ms) {
-                job.troubles.insert(shard.start);
+                job.problems.insert(shard.start);
                 if !self.logged.contains(&shard.start) {
                     notices.push(notice);
                 }
@@ -188,21 +202,21 @@
         notices
     }
 
-    /// Takes over what a look ahead over all shards came to.
+    /// Applies the results of a forecast of all shards.
     fn finish(&mut self, job: Job) {
         self.requested_changes = Some(self.changes(&job));
         let forecasts = job.forecasts.iter().map(|(_, forecast)| forecast);
         let any_known = forecasts.clone().any(|forecast| matches!(forecast, Forecast::Known(_)));
         self.weeks = if any_known { factors(forecasts, WEEKS, &self.settings) } else { Vec::new() };
         self.loads = job.loads;
-        self.logged = job.troubles;
+        self.logged = job.problems;
         let schedule = self.scheduler.encode();
-        let is_empty = self.kept.is_none() && self.scheduler.scheduled().next().is_none();
-        let is_changed = !is_empty && self.kept.as_ref() != Some(&schedule);
+        let is_empty = self.stored_schedule.is_none() && self.scheduler.scheduled().next().is_none();
+        let is_changed = !is_empty && self.stored_schedule.as_ref() != Some(&schedule);
         self.schedule = is_changed.then_some(schedule);
     }
 
-    /// The splits that are scheduled, and the merges that the forecasts allow.
+    /// Returns the scheduled splits, and the merges that the forecasts allow.
     fn changes(&self, job: &Job) -> Vec<Change> {
         let split = |split: &super::splits::Split| Change::Split {
             start: split.start,
@@ -217,44 +231,46 @@
         self.scheduler.scheduled().map(split).chain(merges).collect()
     }
 
-    /// By how much the zone's fills grow in each of the coming weeks against today's; empty: too little is known.
+    /// Returns the growth of the zone's fills in each of the coming weeks, relative to today's; empty with too little
+    /// history.
     pub fn weeks(&self) -> &[f64] {
         &self.weeks
     }
 
-    /// What was last found of each shard.
+    /// Returns the measured shards of the last complete forecast.
     pub fn loads(&self) -> &[MeasuredShard] {
         &self.loads
     }
 
-    /// Splits and merges that are requested; `None`: nothing was looked at yet.
+    /// Returns the requested splits and merges; `None` before the first complete forecast.
     pub fn requested_changes(&self) -> Option<Vec<Change>> {
         self.requested_changes.clone()
     }
 
-    /// Documents of this zone whose buckets the history no longer reaches, at most a hundred. `None`: there are none.
+    /// Returns a replacement of documents whose buckets are no longer part of the history, at most [`MAX_REMOVED`] of
+    /// them; `None` if there are none.
     pub fn old<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Old> {
         let base = self.merged.base()?;
         let (key, oldest) = (base.key(&self.zone), self.merged.oldest());
         let below = Ahead::below(&self.zone);
         let bucket = |k: &str| k.strip_prefix(&below)?.split('/').next()?.parse::<u64>().ok();
         let old = keys.filter(|k| *k != key && bucket(k).is_some_and(|b| b <= oldest));
-        let old: Vec<String> = old.take(MOST_OLD).map(str::to_owned).collect();
+        let old: Vec<String> = old.take(MAX_REMOVED).map(str::to_owned).collect();
         (!old.is_empty()).then(|| Old { base: (key, base.encode()), keys: old })
     }
 
-    /// The schedule to be written, once each time that it has changed.
+    /// Takes the schedule to write, after each forecast that has changed it.
     pub fn schedule(&mut self) -> Option<Vec<u8>> {
         self.schedule.take()
     }
 
-    /// The zone's name.
+    /// Returns the zone's name.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 }
 
-/// How long moving half of a shard takes, in milliseconds; `kb_s`: how fast a move is warmed.
+/// Returns how long moving half of a shard takes, in milliseconds; `kb_s` is the rate of warming, in KB per second.
 fn half_move_ms(kb: f64, kb_s: f64) -> u64 {
     if kb_s > 0.0 {
         (kb / 2.0 / kb_s * 1e3).min(MAX_MOVE_MS) as u64
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -1,139 +1,143 @@
-//! What is newly wanted, by time bucket and place in the space of objects: the instance's own count, the documents it
-//! writes to the registry, and their union at the planner.
+//! Distinct newly requested objects, by time bucket and position in the hash space of objects: the counts of one
+//! instance, the documents that it writes to the registry, and their union at the planner.
 //!
-//! Shards are cut anew, so nothing is kept by shard: the space of objects is a fixed grid of [`CELLS`] cells, and a
-//! shard is read as the cells it covers, each by the part it covers. Positions are hashed, so what lies inside a cell
-//! is spread evenly, and few cells with many registers tell more of a shard than its own few objects would; a split
-//! shard's halves have their history at once, and so has a merged one.
+//! Counts are not kept by shard, because shards are split and merged. The hash space is a fixed grid of [`CELLS`] cells,
+//! and a shard's count is the sum of the cells that it covers, each by the covered fraction. Objects are spread evenly
+//! within a cell because positions are hashed, so a few cells with many registers estimate a shard better than its own
+//! few objects would. The parts of a split shard have a history at once, and so has a merged shard.
 //!
-//! A cell has [`REGISTERS`] registers, each with the object of the least hash that came to it (order statistics,
-//! Lumbroso 2010), its size, and whether it was written. Only this one object counts, so repeats change nothing, and
-//! a register's object is a fair sample of all distinct ones, from which the mean size is taken. All joining is by
-//! maximum: repeats, restarts, late and merged buckets change nothing twice. The error of one cell is 1 / sqrt(4,096),
-//! [`ERROR`]. A `hyperloglogplus` beside sums was ruled out: sums cannot be joined by maximum.
+//! A cell has [`REGISTERS`] registers. Each holds the object with the smallest hash assigned to it (order statistics,
+//! Lumbroso 2010), with the object's size and whether it was written. Because only this one object counts, repeated
+//! requests change nothing, and the registers' objects are an unbiased sample of all distinct ones, from which the mean
+//! size is computed. Registers are merged by maximum, so that repeated, late and merged buckets and restarts are not
+//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`ERROR`]. A `hyperloglogplus` sketch with separate
+//! sums was ruled out, because sums can't be merged by maximum.
 //!
-//! Memory, however many shards there are: an instance has 512 KB and at most [`MOST_WAITING`] waiting; the planner keeps
-//! of each register only its records (buckets in which it rose: about the logarithm of the objects), 10 to 30 MB a zone.
+//! Memory does not depend on the number of shards: an instance uses 512 KB and at most [`MOST_WAITING`] for closed
+//! buckets. For each register, the planner keeps only the buckets in which it increased, about the logarithm of the
+//! number of objects, in total 10 to 30 MB per zone.
 
-use super::{open, seal, GrowthError, Settings};
+use super::{decode_document, encode_document, GrowthError, Settings};
 use crate::routing::events::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
 const CELL_BITS: u32 = 5;
 const REGISTER_BITS: u32 = 12;
-/// Standard deviation of a cell's count, as a part of it.
+/// Standard error of a cell's count, as a fraction of the count.
 pub const ERROR: f64 = 1.0 / (1 << (REGISTER_BITS / 2)) as f64;
-/// Cells of the space of objects. Part of the documents' format.
+/// Number of cells of the hash space. Part of the documents' format.
 pub const CELLS: usize = 1 << CELL_BITS;
-/// Registers of one cell. Part of the documents' format.
+/// Number of registers of one cell. Part of the documents' format.
 pub const REGISTERS: usize = 1 << REGISTER_BITS;
-const ALL: usize = CELLS * REGISTERS;
-/// Longest name of a member that a document may have, in bytes.
-const LONGEST_NAME: usize = 64;
-/// Bytes that closed buckets may take while they wait; beyond, the oldest are merged.
+const TOTAL_REGISTERS: usize = CELLS * REGISTERS;
+/// Maximum length of a member name in a document, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Maximum memory of closed buckets that wait to be written, in bytes; beyond it, the oldest are merged.
 pub const MOST_WAITING: usize = 16 << 20;
-/// The member under whose name the planner keeps what has left the history.
-const BASE: &str = "~base";
+/// Member name of the base document, in which the planner keeps the buckets that are no longer part of the history.
+const BASE_MEMBER: &str = "~base";
 
-/// A register: the rank of the hash (6 bits), its next 11 bits inverted, the logarithm of the size (14), written (1).
-/// The least hash is the greatest register; 0 is empty.
+/// Returns a register: the rank of the hash (6 bits), its next 11 bits inverted, the logarithm of the size (14 bits), and
+/// whether the object was written (1 bit). The smallest hash gives the largest register; 0 is an empty register.
 fn register(hash: u64, kb: f64, write: bool) -> u32 {
     let hash = hash | 1 << (CELL_BITS + REGISTER_BITS - 1);
-    let rank = hash.leading_zeros();
-    let next = ((hash << rank << 1) >> 53) as u32;
+    let leading_zeros = hash.leading_zeros();
+    let next = ((hash << leading_zeros << 1) >> 53) as u32;
     let size = ((kb.max(0.0).log2() + 16.0) * 256.0).clamp(1.0, 16_383.0) as u32;
-    rank << 26 | (2_047 - next) << 15 | size << 1 | u32::from(write)
+    leading_zeros << 26 | (2_047 - next) << 15 | size << 1 | u32::from(write)
 }
 
-/// The hash as a part of the whole, 0 to 1, of a register that is not empty.
-fn least(register: u32) -> f64 {
+/// Returns the hash of a non-empty register, as a fraction of the range of hashes, 0 to 1.
+fn hash_fraction(register: u32) -> f64 {
     let next = 2_047 - (register >> 15 & 2_047);
     (-1.0 - f64::from(register >> 26)).exp2() * (1.0 + (f64::from(next) + 0.5) / 2_048.0)
 }
 
+/// Returns the object size of a non-empty register, in kilobytes.
 fn size_kb(register: u32) -> f64 {
     (f64::from(register >> 1 & 16_383) / 256.0 - 16.0).exp2()
 }
 
-/// Distinct objects of a cell, of whose registers `full` are not empty, with this sum of least hashes (an empty one
-/// counts 1): the likeliest number for few and many alike, so that a series has no seam.
-fn distinct(full: f64, sum: f64) -> f64 {
-    let fair = 1.0 - 1.0 / REGISTERS as f64;
-    REGISTERS as f64 * full * fair / sum.max(1e-12)
+/// Estimates the distinct objects of a cell with `non_empty` non-empty registers; `sum` is the sum of the smallest hashes, in
+/// which an empty register counts 1. One formula covers small and large counts, so that a series has no step where two
+/// estimators would meet.
+fn estimate_distinct(non_empty: f64, sum: f64) -> f64 {
+    let bias_correction = 1.0 - 1.0 / REGISTERS as f64;
+    REGISTERS as f64 * non_empty * bias_correction / sum.max(1e-12)
 }
 
-/// What one instance wanted in one bucket, as it is written to the registry.
+/// The counts of one instance in one bucket, as written to the registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The instance.
+    /// Name of the instance.
     pub member: String,
-    /// Which life of it.
+    /// Incarnation of the instance.
     pub incarnation: u64,
-    /// The bucket; where several were merged, the last of them.
+    /// Number of the bucket; of several merged buckets, the last.
     pub bucket: u64,
-    /// Registers that are not empty: how far after the one before, and what they hold.
+    /// Non-empty registers: the distance from the previous one, and the value.
     registers: Vec<(u32, u32)>,
 }
 
 impl Document {
-    fn of(
+    fn new(
         member: &str,
         incarnation: u64,
         bucket: u64,
         registers: impl Iterator<Item = (usize, u32)>,
     ) -> Self {
         let mut last = 0;
-        let after = |(at, held): (usize, u32)| {
+        let after = |(at, value): (usize, u32)| {
             let gap = at - last;
             last = at;
-            (gap as u32, held)
+            (gap as u32, value)
         };
         let registers = registers.filter(|r| r.1 > 0).map(after).collect();
         Document { member: member.to_owned(), incarnation, bucket, registers }
     }
 
     fn each(&self) -> impl Iterator<Item = (usize, u32)> + '_ {
-        self.registers.iter().scan(0usize, |at, &(gap, held)| {
+        self.registers.iter().scan(0usize, |at, &(gap, value)| {
             *at = at.saturating_add(gap as usize);
-            Some((*at, held))
+            Some((*at, value))
         })
     }
 
-    /// Its key below the fleet's prefix.
+    /// Returns the document's key below the fleet's prefix.
     pub fn key(&self, zone: &str) -> String {
         format!("growth/{zone}/{}/{}-{}", self.bucket, self.member, self.incarnation)
     }
 
-    /// The bytes of its value: at most 1 MB.
+    /// Encodes the document as a registry value of at most 1 MB.
     pub fn encode(&self) -> Vec<u8> {
-        seal(self)
+        encode_document(self)
     }
 
-    /// Reads a value.
+    /// Decodes a registry value.
     ///
     /// # Errors
-    /// Any bytes that [`Document::encode`] of this format does not give.
+    /// The bytes are not the output of [`Document::encode`] of this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, GrowthError> {
-        let document: Document = open(bytes, "a bucket of growth")?;
+        let document: Document = decode_document(bytes, "a growth bucket")?;
         let mut before = None;
-        let orderly = document.each().all(|(at, held)| {
+        let is_ascending = document.each().all(|(at, value)| {
             let after = before.is_none_or(|b| at > b);
             before = Some(at);
-            after && at < ALL && held > 0
+            after && at < TOTAL_REGISTERS && value > 0
         });
-        if document.member.len() > LONGEST_NAME || !orderly {
-            return Err(GrowthError::Form { what: "a bucket of growth" });
+        if document.member.len() > MAX_NAME_BYTES || !is_ascending {
+            return Err(GrowthError::Malformed { what: "a growth bucket" });
         }
         Ok(document)
     }
 
-    fn join(&mut self, older: &Document) {
-        let mut all = vec![0u32; ALL];
-        for (at, held) in self.each().chain(older.each()) {
-            all[at] = all[at].max(held);
+    fn merge_older(&mut self, older: &Document) {
+        let mut all = vec![0u32; TOTAL_REGISTERS];
+        for (at, value) in self.each().chain(older.each()) {
+            all[at] = all[at].max(value);
         }
-        *self = Document::of(&self.member, self.incarnation, self.bucket, all.into_iter().enumerate());
+        *self = Document::new(&self.member, self.incarnation, self.bucket, all.into_iter().enumerate());
     }
 
     fn size(&self) -> usize {
@@ -141,59 +145,60 @@
     }
 }
 
-/// Which bucket a moment belongs to; `bucket` is how long one lasts, in microseconds.
+/// Returns the number of the bucket of a time; `bucket` is the duration of one bucket, in microseconds.
 pub fn bucket_of(now_unix_ms: u64, bucket: Micros) -> u64 {
     (u128::from(now_unix_ms) * 1_000 / u128::from(bucket.max(1))).min(u128::from(u64::MAX)) as u64
 }
 
-/// One instance's count.
+/// One instance's count of newly requested objects.
 #[derive(Clone, Debug)]
 pub struct Growth {
     settings: Settings,
     zone: String,
     member: String,
     incarnation: u64,
-    /// The bucket that is open, from the first telling of the time.
+    /// The open bucket; `None` before the first call of [`Growth::close`].
     bucket: Option<u64>,
     registers: Vec<u32>,
     waiting: VecDeque<Document>,
 }
 
 impl Growth {
-    /// An instance of a zone, under its name (cut to 64 bytes) and the number of this life of it.
+    /// Returns the counter of an instance of a zone, with its name (truncated to 16 characters, at most 64 bytes) and
+    /// incarnation.
     pub fn new(settings: Settings, zone: &str, member: &str, incarnation: u64) -> Self {
-        let (zone, member) = (zone.to_owned(), member.chars().take(LONGEST_NAME / 4).collect());
-        let (registers, waiting) = (vec![0; ALL], VecDeque::new());
+        let (zone, member) = (zone.to_owned(), member.chars().take(MAX_NAME_BYTES / 4).collect());
+        let (registers, waiting) = (vec![0; TOTAL_REGISTERS], VecDeque::new());
         Growth { settings, zone, member, incarnation, bucket: None, registers, waiting }
     }
 
-    /// An object was wanted: filled because no cache had it, or written. Other requests are no growth. A hash and one
-    /// comparison; allocates nothing.
-    /// Each `part` of an object is kept, and counted, by itself.
+    /// Counts a request that filled an object because no cache had it (`new_fill`), or that wrote the object. Other
+    /// requests are not growth. Each `part` of an object is cached, and so counted, separately. Computes a hash, compares
+    /// one register and allocates nothing.
     pub fn wanted(&mut self, object: u64, part: u64, kb: f64, new_fill: bool, write: bool) {
         if !(new_fill || write) {
             return;
         }
-        // A part lies in its object's cell, and anywhere in it.
-        let apart = crate::placement::position(object.rotate_left(32) ^ part) >> CELL_BITS;
-        let position = crate::placement::position(object) ^ if part == 0 { 0 } else { apart };
+        // A part is in the cell of its object, at a position of its own.
+        let part_offset = crate::placement::position(object.rotate_left(32) ^ part) >> CELL_BITS;
+        let position = crate::placement::position(object) ^ if part == 0 { 0 } else { part_offset };
         let at = (position >> (64 - CELL_BITS - REGISTER_BITS)) as usize;
         let hash = position << (CELL_BITS + REGISTER_BITS);
-        if let Some(held) = self.registers.get_mut(at) {
-            *held = (*held).max(register(hash, kb, write));
+        if let Some(value) = self.registers.get_mut(at) {
+            *value = (*value).max(register(hash, kb, write));
         }
     }
 
-    /// Tells the time, about once a second: a bucket that is over is closed and waits to be written. What was wanted
-    /// since the last telling counts to that bucket. A clock that was put back closes nothing until it has caught up.
-    /// Returns whether one was closed.
+    /// Closes the open bucket if its time is over, and queues it to be written; called about once a second. Requests since
+    /// the last call count towards that bucket. After the clock was set back, nothing is closed until it has caught up.
+    /// Returns whether a bucket was closed.
     pub fn close(&mut self, now_unix_ms: u64) -> bool {
         let now = bucket_of(now_unix_ms, self.settings.bucket);
         let open = *self.bucket.get_or_insert(now);
         if now <= open {
             return false;
         }
-        self.waiting.push_back(self.open(open));
+        self.waiting.push_back(self.open_document(open));
         self.registers.fill(0);
         self.bucket = Some(now);
         let most = self.settings.waiting.max(1);
@@ -201,61 +206,64 @@
         while self.waiting.len() > 1 && (self.waiting.len() > most || size(&self.waiting) > MOST_WAITING) {
             let Some(oldest) = self.waiting.pop_front() else { break };
             if let Some(next) = self.waiting.front_mut() {
-                next.join(&oldest);
+                next.merge_older(&oldest);
             }
         }
         true
     }
 
-    fn open(&self, bucket: u64) -> Document {
-        let held = self.registers.iter().copied().enumerate();
-        Document::of(&self.member, self.incarnation, bucket, held)
+    fn open_document(&self, bucket: u64) -> Document {
+        let registers = self.registers.iter().copied().enumerate();
+        Document::new(&self.member, self.incarnation, bucket, registers)
     }
 
-    /// The open bucket as it stands, key and value: written now and then, and before the process goes, it is not lost
-    /// with the process. Later writes under the same key hold all of it.
+    /// Returns the key and value of the open bucket. It is written periodically and before the process ends, so that its
+    /// counts are not lost with the process. Later writes under the same key include all earlier counts.
     pub fn current(&self) -> Option<(String, Vec<u8>)> {
-        let document = self.open(self.bucket?);
+        let document = self.open_document(self.bucket?);
         Some((document.key(&self.zone), document.encode()))
     }
 
-    /// The oldest bucket that is still to be written, key and value.
+    /// Returns the key and value of the oldest closed bucket that is still to be written.
     pub fn next(&self) -> Option<(String, Vec<u8>)> {
         self.waiting.front().map(|d| (d.key(&self.zone), d.encode()))
     }
 
-    /// The registry has taken what stands under this key.
+    /// Removes the bucket with this key after the registry has stored it.
     pub fn written(&mut self, key: &str) {
         self.waiting.retain(|d| d.key(&self.zone) != key);
     }
 
-    /// Closed buckets that wait; at most [`Settings::waiting`].
+    /// Returns the number of closed buckets that wait to be written; at most [`Settings::waiting`].
     pub fn pending(&self) -> usize {
         self.waiting.len()
     }
 }
 
-/// What is known of a range of the space of objects at the end of a bucket.
+/// The counts of a range of the hash space up to the end of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// The bucket.
+    /// Number of the bucket.
     pub bucket: u64,
-    /// Distinct objects wanted up to its end.
+    /// Number of distinct objects requested up to its end.
     pub objects: f64,
-    /// Their kilobytes, at the mean size of today.
+    /// Size of these objects in kilobytes, at the current mean size.
     pub kb: f64,
-    /// Those of the objects that were written.
+    /// Number of these objects that were written.
     pub writes: f64,
-    /// Whether any instance wrote this bucket; if not, the figures are those of the one before.
+    /// Whether any instance wrote this bucket; if not, the counts are those of the previous bucket.
     pub known: bool,
 }
 
 /// The history of one cell of the grid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Cell {
-    /// Buckets after the first one known in which it grew, with objects and written ones up to then.
+    /// Buckets in which the cell grew, relative to the first known one, each with the numbers of distinct objects and of
+    /// written objects up to then.
     levels: Vec<(u64, [f64; 2])>,
-    holders: f64,
+    /// Number of non-empty registers.
+    samples: f64,
+    /// Total size of the registers' objects, in kilobytes.
     kb: f64,
 }
 
@@ -266,115 +274,123 @@
     buckets: u64,
     newest: u64,
     known: BTreeSet<u64>,
-    /// Of each register its records: buckets, rising, with what it rose to.
-    records: Vec<Vec<(u64, u32)>>,
+    /// For each register, the buckets in which it increased, in ascending order, with its new value.
+    increases: Vec<Vec<(u64, u32)>>,
 }
 
 impl Merged {
-    /// Nothing yet.
+    /// Returns an empty history.
     pub fn new(settings: &Settings) -> Self {
         let (bucket, buckets) = (settings.bucket, settings.buckets.max(1) as u64);
-        Merged { bucket, buckets, newest: 0, known: BTreeSet::new(), records: vec![Vec::new(); ALL] }
+        Merged {
+            bucket,
+            buckets,
+            newest: 0,
+            known: BTreeSet::new(),
+            increases: vec![Vec::new(); TOTAL_REGISTERS],
+        }
     }
 
-    /// The oldest bucket of the history; all before count as wanted in it.
+    /// Returns the oldest bucket of the history; earlier requests count as made in it.
     pub fn oldest(&self) -> u64 {
         self.newest.saturating_sub(self.buckets - 1)
     }
 
-    /// Takes a document, once or often, in any order.
+    /// Merges a document. Documents may come repeatedly and in any order.
     ///
     /// # Errors
-    /// A bucket that is not yet: its writer's clock is off.
+    /// [`GrowthError::FutureBucket`] if the bucket is in the future, because the writer's clock is wrong.
     pub fn take(&mut self, document: &Document, now_unix_ms: u64) -> Result<(), GrowthError> {
-        // Danger: one bucket of the far future would push the whole history out.
+        // A single bucket in the far future would otherwise displace the whole history.
         if document.bucket > bucket_of(now_unix_ms, self.bucket).saturating_add(1) {
             let member = document.member.clone();
-            return Err(GrowthError::Ahead { member, bucket: document.bucket });
+            return Err(GrowthError::FutureBucket { member, bucket: document.bucket });
         }
         if document.bucket > self.newest {
             self.newest = document.bucket;
             let oldest = self.oldest();
             self.known = self.known.split_off(&oldest);
-            for records in &mut self.records {
-                let gone = records.partition_point(|r| r.0 <= oldest);
-                records.drain(..gone.saturating_sub(1));
-                if let Some(first) = records.first_mut() {
+            for increases in &mut self.increases {
+                let expired = increases.partition_point(|r| r.0 <= oldest);
+                increases.drain(..expired.saturating_sub(1));
+                if let Some(first) = increases.first_mut() {
                     first.0 = first.0.max(oldest);
                 }
             }
         }
         let bucket = document.bucket.max(self.oldest());
-        if document.bucket >= self.oldest() && document.member != BASE {
+        if document.bucket >= self.oldest() && document.member != BASE_MEMBER {
             self.known.insert(document.bucket);
         }
-        for (at, held) in document.each() {
-            let Some(records) = self.records.get_mut(at) else { continue };
-            let after = records.partition_point(|r| r.0 <= bucket);
-            if after > 0 && records[after - 1].1 >= held {
+        for (at, value) in document.each() {
+            let Some(increases) = self.increases.get_mut(at) else { continue };
+            let after = increases.partition_point(|r| r.0 <= bucket);
+            if after > 0 && increases[after - 1].1 >= value {
                 continue;
             }
-            // What it beats: the same bucket's, and later ones that are no records any more.
-            let from = records.partition_point(|r| r.0 < bucket);
-            let to = from + records[from..].partition_point(|r| r.1 <= held);
-            records.splice(from..to, [(bucket, held)]);
+            // The value replaces that of the same bucket, and later values that no longer increase the register.
+            let from = increases.partition_point(|r| r.0 < bucket);
+            let to = from + increases[from..].partition_point(|r| r.1 <= value);
+            increases.splice(from..to, [(bucket, value)]);
         }
         Ok(())
     }
 
-    /// All up to the oldest bucket, to be written before the keys of older ones are deleted, so that a planner that
-    /// begins anew does not take what has long been kept for new. `None` before the history is full.
+    /// Returns a base document of all buckets up to the oldest one of the history. It is written before the keys of older
+    /// buckets are deleted; otherwise a new planner would count objects that were requested long ago as new. `None` until
+    /// the history is full.
     pub fn base(&self) -> Option<Document> {
         let oldest = self.oldest();
-        let full = oldest > 0 && self.known.first().is_some_and(|&b| b <= oldest);
+        let is_full = oldest > 0 && self.known.first().is_some_and(|&b| b <= oldest);
         let first = |r: &Vec<(u64, u32)>| r.first().filter(|r| r.0 <= oldest).map_or(0, |r| r.1);
-        full.then(|| Document::of(BASE, 0, oldest, self.records.iter().map(first).enumerate()))
+        is_full.then(|| Document::new(BASE_MEMBER, 0, oldest, self.increases.iter().map(first).enumerate()))
     }
 
-    /// The history of one cell of the grid, `None` beyond the last: about a millisecond at most, so a slice of work.
+    /// Returns the history of one cell of the grid; `None` beyond the last cell. Takes at most about a millisecond, so
+    /// that the planner can process cells in slices.
     pub fn cell(&self, cell: usize) -> Option<Cell> {
-        let registers = self.records.chunks(REGISTERS).nth(cell)?;
+        let registers = self.increases.chunks(REGISTERS).nth(cell)?;
         let Some(&first) = self.known.first() else { return Some(Cell::default()) };
-        let many = self.newest.saturating_sub(first).min(self.buckets - 1);
-        let (mut events, mut of) = (Vec::new(), Cell::default());
-        for records in registers {
+        let last_offset = self.newest.saturating_sub(first).min(self.buckets - 1);
+        let (mut events, mut history) = (Vec::new(), Cell::default());
+        for increases in registers {
             let mut before = 0;
-            for &(bucket, held) in records {
-                events.push((bucket.saturating_sub(first).min(many), before, held));
-                before = held;
+            for &(bucket, value) in increases {
+                events.push((bucket.saturating_sub(first).min(last_offset), before, value));
+                before = value;
             }
             if before > 0 {
-                of.holders += 1.0;
-                of.kb += size_kb(before);
+                history.samples += 1.0;
+                history.kb += size_kb(before);
             }
         }
         events.sort_unstable();
-        let (mut sum, mut full, mut writes) = (REGISTERS as f64, 0.0, 0.0);
-        for together in events.chunk_by(|a, b| a.0 == b.0) {
-            for &(_, before, held) in together {
-                sum += least(held) - if before > 0 { least(before) } else { 1.0 };
-                full += f64::from(before == 0);
-                writes += f64::from(held & 1) - f64::from(before & 1);
+        let (mut sum, mut non_empty, mut writes) = (REGISTERS as f64, 0.0, 0.0);
+        for group in events.chunk_by(|a, b| a.0 == b.0) {
+            for &(_, before, value) in group {
+                sum += hash_fraction(value) - if before > 0 { hash_fraction(before) } else { 1.0 };
+                non_empty += f64::from(before == 0);
+                writes += f64::from(value & 1) - f64::from(before & 1);
             }
-            let objects = distinct(full, sum);
-            of.levels.push((together[0].0, [objects, objects * writes / full]));
+            let objects = estimate_distinct(non_empty, sum);
+            history.levels.push((group[0].0, [objects, objects * writes / non_empty]));
         }
-        Some(of)
+        Some(history)
     }
 
-    /// The history of the objects from `start` up to and with `last`, one point a bucket, oldest first; empty while
-    /// nothing is known. `cells`: all of [`Merged::cell`], taken since the last document was.
+    /// Returns the history of the objects from `start` through `last`, one point per bucket, oldest first; empty without
+    /// any document. `cells` are the results of [`Merged::cell`] for all cells, after the last merged document.
     pub fn series(&self, cells: &[Cell], start: u64, last: u64) -> Vec<Point> {
         let Some(&first) = self.known.first() else { return Vec::new() };
-        let many = self.newest.saturating_sub(first).min(self.buckets - 1) as usize + 1;
-        let mut rises = vec![[0.0f64; 2]; many];
-        let (mut holders, mut kb) = (0.0, 0.0);
+        let bucket_count = self.newest.saturating_sub(first).min(self.buckets - 1) as usize + 1;
+        let mut rises = vec![[0.0f64; 2]; bucket_count];
+        let (mut samples, mut kb) = (0.0, 0.0);
         let (width, end) = (1u128 << (64 - CELL_BITS), u128::from(last.max(start)) + 1);
         for (n, cell) in cells.iter().enumerate() {
-            let begins = n as u128 * width;
-            let inside = (begins + width).min(end).saturating_sub(begins.max(u128::from(start)));
+            let cell_start = n as u128 * width;
+            let inside = (cell_start + width).min(end).saturating_sub(cell_start.max(u128::from(start)));
             let part = inside as f64 / width as f64;
-            holders += part * cell.holders;
+            samples += part * cell.samples;
             kb += part * cell.kb;
             let mut before = [0.0; 2];
             for (at, level) in cell.levels.iter().filter(|_| inside > 0) {
@@ -384,12 +400,12 @@
                 before = *level;
             }
         }
-        let mean = if holders > 0.0 { kb / holders } else { 0.0 };
+        let mean_kb = if samples > 0.0 { kb / samples } else { 0.0 };
         let mut sum = [0.0; 2];
         let point = |(n, rise): (usize, &[f64; 2])| {
             (0..2).for_each(|k| sum[k] += rise[k]);
             let (bucket, [objects, writes]) = (first + n as u64, sum);
-            Point { bucket, objects, kb: objects * mean, writes, known: self.known.contains(&bucket) }
+            Point { bucket, objects, kb: objects * mean_kb, writes, known: self.known.contains(&bucket) }
         };
         rises.iter().enumerate().map(point).collect()
     }
--- a/src/growth/forecast.rs
+++ b/src/growth/forecast.rs
@@ -1,80 +1,82 @@
-//! When a shard will have grown to a size: from its history, with an interval, robustly.
+//! Robust forecast of the time at which a shard reaches a size, with a confidence interval.
 //!
-//! What is forecast is what a shard would keep: the distinct kilobytes wanted of it so far. A box that keeps less
-//! than that evicts, which is what the split is to prevent. Growth is taken as sums over days, compared by medians:
-//! the line of growth is Theil and Sen's (the median of all slopes between days, 29% of which may be anything), used
-//! only where Mann and Kendall's test finds a trend at all, and damped ahead; the week's rhythm is the median of each
-//! hour of the week. So a flood of once-wanted objects or a purge changes the level, which is real, and not the growth;
-//! a gap is left out. Under a fortnight of data there is no rhythm, and under four days spans of
-//! equal length stand for the days.
+//! The forecast quantity is the size that a shard would need in a cache: the kilobytes of distinct objects requested so
+//! far. An endpoint with less capacity evicts objects, which splits are to prevent. Growth is summed over days, and the
+//! days are compared by medians. The trend is the Theil-Sen estimator (the median of all slopes between days, which
+//! tolerates 29% outliers); it is used only where the Mann-Kendall test finds a trend, and damped for the future. The
+//! weekly seasonality is the median of each bucket of the week. A flood of objects requested only once, or a purge, thus
+//! changes the level, which is real, but not the growth; gaps are left out. With less than two weeks of data there is no
+//! seasonality, and with less than four days spans of equal length replace the days.
 //!
-//! Ruled out: `augurs` (MSTL over ETS). It fits by squares and takes no gaps: for a shard that grows by 33,600 in a
-//! fortnight it told 33,057, and 2,848 after one flood of 12 hours four days before the end. One series of six weeks
-//! took it 27 to 35 ms, 10,000 about five minutes.
+//! Ruled out: `augurs` (MSTL with ETS), which fits by least squares and does not support gaps. For a shard that grows by
+//! 33,600 in two weeks it forecast 33,057, and only 2,848 after one flood of 12 hours four days before the end. One
+//! series of six weeks took 27 to 35 ms, and 10,000 series about five minutes.
 
 use super::buckets::{Point, ERROR};
 use super::Settings;
 
-/// Known buckets below which nothing is said.
-pub const LEAST_KNOWN: usize = 8;
-/// Most spans of growth that are compared, the latest.
-const MOST_SPANS: usize = 42;
-/// Spans of which at least something has to be known.
-const LEAST_SPANS: usize = 4;
-/// Spans into which a history of fewer days is cut.
-const SPANS: usize = 16;
-/// The latest spans, from which today's rate is taken.
-const LATEST: usize = 14;
-/// From one span to the next ahead, so much of the trend goes on.
-const DAMPED: f64 = 0.95;
-/// How far apart medians lie by chance against means, as a factor of the variance.
-const MEDIAN: f64 = 1.57;
-const DAY: u64 = 86_400_000_000;
+/// Minimum number of known buckets for a forecast.
+pub const MIN_KNOWN_BUCKETS: usize = 8;
+/// Maximum number of spans that are compared: the latest ones.
+const MAX_SPANS: usize = 42;
+/// Minimum number of spans with known growth.
+const MIN_SPANS: usize = 4;
+/// Number of spans into which a history of less than `MIN_SPANS` days is divided.
+const SHORT_HISTORY_SPANS: usize = 16;
+/// Number of latest spans from which the current rate is computed.
+const LATEST_SPANS: usize = 14;
+/// Fraction of the trend that remains from one future span to the next.
+const TREND_DAMPING: f64 = 0.95;
+/// Variance of a sample median, relative to that of the mean.
+const MEDIAN_VARIANCE: f64 = 1.57;
+/// Duration of a day, in microseconds.
+const DAY_US: u64 = 86_400_000_000;
 
-/// The size of a shard at a moment ahead, in kilobytes.
+/// Forecast size of a shard at a future time, in kilobytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// Its early, low end.
+    /// Low end of the interval.
     pub low: f64,
-    /// As likely above as below.
+    /// Median of the forecast.
     pub middle: f64,
-    /// Its high end: by this one splits are scheduled.
+    /// High end of the interval, by which splits are scheduled.
     pub high: f64,
 }
 
-/// What is to be expected of one shard.
+/// Forecast of one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Forecast {
-    /// Too little is known to say anything.
+    /// The history is too short for a forecast.
     TooLittle {
-        /// Buckets that are known, of [`LEAST_KNOWN`].
+        /// Number of known buckets. A forecast needs [`MIN_KNOWN_BUCKETS`], and at least four spans with known growth.
         known: usize,
     },
-    /// A trend.
+    /// The history has a trend.
     Known(Trend),
 }
 
-/// Level, growth, rhythm, and how much they vary.
+/// Level, growth and seasonality of a shard's size, with their variation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trend {
-    /// The last known size, in kilobytes.
+    /// Last known size, in kilobytes.
     pub level: f64,
-    /// The bucket at whose end it was that.
+    /// Bucket at whose end the shard had this size.
     pub bucket: u64,
-    /// Growth in one span, at the end of the history, in kilobytes.
+    /// Growth per span at the end of the history, in kilobytes.
     pub rate: f64,
-    /// How much that changes from span to span.
+    /// Change of the rate from one span to the next, in kilobytes.
     pub slope: f64,
-    /// Buckets in one span.
+    /// Number of buckets in one span.
     pub span: usize,
-    /// Spread of the growth of one span, as a standard deviation.
+    /// Standard deviation of the growth of one span, in kilobytes.
     spread: f64,
+    /// Number of spans with known growth.
     spans: usize,
-    /// How many standard deviations the interval's ends are away.
-    sure: f64,
-    /// Of each bucket of the week, its part of the growth of a span; empty: all alike.
-    rhythm: Vec<f32>,
-    /// Of the first buckets of the week, the sum of their parts.
+    /// Distance of the interval's ends from its middle, in standard deviations.
+    quantile: f64,
+    /// Fraction of a span's growth in each bucket of the week; empty if all are equal.
+    seasonality: Vec<f32>,
+    /// Sum of the fractions before each bucket of the week.
     sums: Vec<f64>,
 }
 
@@ -92,71 +94,72 @@
     (below + high) / 2.0
 }
 
-/// Standard deviations within which a part of all lies, both sides together; by the logistic curve, which is a little
-/// wider than the normal one.
-fn deviations(level: f64) -> f64 {
+/// Returns the two-sided quantile of a confidence level, in standard deviations. It uses the logistic distribution, which
+/// is slightly wider than the normal distribution.
+fn quantile_of(level: f64) -> f64 {
     let above = (1.0 + level.clamp(0.0, 0.999)) / 2.0;
     (above / (1.0 - above)).ln() / 1.7
 }
 
-/// Whether a point is known, of a size that can be reckoned with.
-fn told(point: &&Point) -> bool {
+/// Returns whether a point is known and its size is in the supported range.
+fn is_usable(point: &&Point) -> bool {
     point.known && (0.0..1e18).contains(&point.kb)
 }
 
-/// Growth from one known bucket to the next; across a gap there is none to tell.
-fn rises(history: &[Point]) -> Vec<Option<f64>> {
-    let rise = |pair: &[Point]| {
+/// Returns the growth from each bucket to the next; `None` where one of the two is unknown.
+fn increments(history: &[Point]) -> Vec<Option<f64>> {
+    let increment = |pair: &[Point]| {
         let follows = pair[0].bucket.checked_add(1) == Some(pair[1].bucket);
         (pair[0].known && pair[1].known && follows)
             .then_some(pair[1].kb - pair[0].kb)
             .filter(|r| r.is_finite())
     };
-    history.windows(2).map(rise).collect()
+    history.windows(2).map(increment).collect()
 }
 
-/// Of each bucket of the week its part of a day's growth; empty where the history shows none.
-fn rhythm(rises: &[Option<f64>], first: u64, day: usize) -> Vec<f32> {
+/// Returns, for each bucket of the week, its fraction of a day's growth; empty without seasonality.
+fn seasonality(increments: &[Option<f64>], first: u64, day: usize) -> Vec<f32> {
     let week = day * 7;
     let mut by_phase = vec![Vec::new(); week];
-    for (n, rise) in rises.iter().enumerate() {
-        by_phase[((first + n as u64) % week as u64) as usize].extend(*rise);
+    for (n, increment) in increments.iter().enumerate() {
+        by_phase[((first + n as u64) % week as u64) as usize].extend(*increment);
     }
     let medians: Vec<f64> = by_phase.iter_mut().map(|p| median(p).max(0.0)).collect();
     let mean = medians.iter().sum::<f64>() / 7.0;
-    // A shard in which most hours bring nothing has no rhythm that medians could show.
-    let told = medians.iter().filter(|&&m| m > 0.0).count();
-    if mean <= 0.0 || told * 2 < week || by_phase.iter().any(Vec::is_empty) {
+    // If most buckets have no growth, medians can't show a seasonality.
+    let positive = medians.iter().filter(|&&m| m > 0.0).count();
+    if mean <= 0.0 || positive * 2 < week || by_phase.iter().any(Vec::is_empty) {
         return Vec::new();
     }
     medians.iter().map(|m| (m / mean) as f32).collect()
 }
 
-/// Growth of one span after the other, the latest last, with the rhythm taken out; `None` where under half is known.
-fn spans(rises: &[Option<f64>], first: u64, span: usize, rhythm: &[f32]) -> Vec<Option<f64>> {
-    let skip = rises.len() % span;
-    let part = |bucket: u64| match rhythm.len() {
+/// Returns the growth of each span without seasonality, the latest last; `None` where less than half of a span is known.
+fn spans(increments: &[Option<f64>], first: u64, span: usize, seasonality: &[f32]) -> Vec<Option<f64>> {
+    let skip = increments.len() % span;
+    let part = |bucket: u64| match seasonality.len() {
         0 => 1.0 / span as f64,
-        week => f64::from(rhythm[(bucket % week as u64) as usize]),
+        week => f64::from(seasonality[(bucket % week as u64) as usize]),
     };
     let from = |n: usize| first + (skip + n * span) as u64;
     let sum = |(n, chunk): (usize, &[Option<f64>])| {
         let (mut sum, mut expected, mut known) = (0.0, 0.0, 0);
-        for (at, rise) in chunk.iter().enumerate() {
-            if let Some(rise) = rise {
-                (sum, expected, known) = (sum + rise, expected + part(from(n) + at as u64), known + 1);
+        for (at, increment) in chunk.iter().enumerate() {
+            if let Some(increment) = increment {
+                (sum, expected, known) = (sum + increment, expected + part(from(n) + at as u64), known + 1);
             }
         }
         (known * 2 >= span && expected > 0.1).then_some(sum / expected)
     };
-    let all: Vec<_> = rises[skip..].chunks(span).enumerate().map(sum).collect();
-    all[all.len().saturating_sub(MOST_SPANS)..].to_vec()
+    let all: Vec<_> = increments[skip..].chunks(span).enumerate().map(sum).collect();
+    all[all.len().saturating_sub(MAX_SPANS)..].to_vec()
 }
 
-/// The trend of growth: at the end, and its change from span to span; no change where chance would explain it.
-fn line(spans: &[(f64, f64)]) -> (f64, f64) {
-    let many = spans.len();
-    let mut slopes = Vec::with_capacity(many * many / 2);
+/// Returns the rate of growth at the end of the history and its change from span to span; the change is 0 where it is not
+/// statistically significant.
+fn fit_trend(spans: &[(f64, f64)]) -> (f64, f64) {
+    let span_count = spans.len();
+    let mut slopes = Vec::with_capacity(span_count * span_count / 2);
     let mut score = 0i64;
     for (n, a) in spans.iter().enumerate() {
         for b in &spans[n + 1..] {
@@ -164,15 +167,15 @@
             score += i64::from(b.1 > a.1) - i64::from(b.1 < a.1);
         }
     }
-    let n = many as f64;
-    let chance = (n * (n - 1.0) * (2.0 * n + 5.0) / 18.0).sqrt();
-    let latest = &spans[many.saturating_sub(LATEST)..];
-    let slope = if score.abs() as f64 > 2.0 * chance { median(&mut slopes) } else { 0.0 };
-    // The rate of today is that of the latest: a line through all is off at its end where the change is no line.
+    let n = span_count as f64;
+    let standard_deviation = (n * (n - 1.0) * (2.0 * n + 5.0) / 18.0).sqrt();
+    let latest = &spans[span_count.saturating_sub(LATEST_SPANS)..];
+    let slope = if score.abs() as f64 > 2.0 * standard_deviation { median(&mut slopes) } else { 0.0 };
+    // The current rate is that of the latest spans: a line through all spans is wrong at its end if growth is not linear.
     if slope < 0.0 {
-        // What falls, falls by the same part each span, or it would soon be below nothing.
+        // A falling rate falls by the same fraction each span; a linear decline would soon be negative.
         let of = |spans: &[(f64, f64)]| median(&mut spans.iter().map(|s| s.1).collect::<Vec<_>>());
-        let (before, after) = (of(&spans[..many / 2]), of(&spans[many / 2..]));
+        let (before, after) = (of(&spans[..span_count / 2]), of(&spans[span_count / 2..]));
         if before > after && after > 0.0 {
             let part = (after / before).powf(2.0 / n);
             let rate = of(latest) * part.powf(latest.len() as f64 / 2.0);
@@ -184,40 +187,41 @@
 }
 
 impl Forecast {
-    /// From a history, oldest first, one point a bucket.
+    /// Forecasts from a history, with one point per bucket, oldest first.
     pub fn of(history: &[Point], settings: &Settings) -> Self {
-        let known = history.iter().filter(told).count();
-        let last = history.iter().rev().find(told);
+        let known = history.iter().filter(is_usable).count();
+        let last = history.iter().rev().find(is_usable);
         let (Some(last), Some(first)) = (last, history.first()) else { return Forecast::TooLittle { known } };
-        if known < LEAST_KNOWN {
+        if known < MIN_KNOWN_BUCKETS {
             return Forecast::TooLittle { known };
         }
-        // A rise belongs to the bucket at whose end it is seen.
+        // Growth belongs to the later of the two buckets between which it is measured.
         let first = first.bucket.saturating_add(1).min(u64::MAX / 4);
-        let rises = rises(history);
-        let day = (DAY / settings.bucket.max(1)).clamp(1, 1 << 20) as usize;
-        let fortnight = known / 14 >= day;
-        let rhythm = if fortnight && day > 1 { rhythm(&rises, first, day) } else { Vec::new() };
-        let days = rises.len() / day >= LEAST_SPANS;
-        let span = if days { day } else { (rises.len() / SPANS).max(1) };
-        let spans = spans(&rises, first, span, &rhythm);
+        let increments = increments(history);
+        let day = (DAY_US / settings.bucket.max(1)).clamp(1, 1 << 20) as usize;
+        let has_two_weeks = known / 14 >= day;
+        let seasonality =
+            if has_two_weeks && day > 1 { seasonality(&increments, first, day) } else { Vec::new() };
+        let has_enough_days = increments.len() / day >= MIN_SPANS;
+        let span = if has_enough_days { day } else { (increments.len() / SHORT_HISTORY_SPANS).max(1) };
+        let spans = spans(&increments, first, span, &seasonality);
         let end = spans.len() as f64 - 1.0;
-        let places = spans.iter().enumerate().filter_map(|(n, s)| Some((n as f64 - end, (*s)?)));
-        let places: Vec<(f64, f64)> = places.collect();
-        if places.len() < LEAST_SPANS {
+        let known_spans = spans.iter().enumerate().filter_map(|(n, s)| Some((n as f64 - end, (*s)?)));
+        let known_spans: Vec<(f64, f64)> = known_spans.collect();
+        if known_spans.len() < MIN_SPANS {
             return Forecast::TooLittle { known };
         }
-        let (rate, slope) = line(&places);
+        let (rate, slope) = fit_trend(&known_spans);
         let falls = slope < 0.0 && rate > 0.0;
         let expected =
             |at: f64| if falls { rate * (rate / (rate - slope)).powf(at) } else { rate + slope * at };
-        let mut off: Vec<f64> = places.iter().map(|p| (p.1 - expected(p.0)).abs()).collect();
-        let spread = 1.4826 * median(&mut off);
+        let mut residuals: Vec<f64> = known_spans.iter().map(|p| (p.1 - expected(p.0)).abs()).collect();
+        let spread = 1.4826 * median(&mut residuals);
         let before = |sum: &mut f64, part: &f32| {
             *sum += f64::from(*part);
             Some(*sum - f64::from(*part))
         };
-        let sums = rhythm.iter().scan(0.0, before).collect();
+        let sums = seasonality.iter().scan(0.0, before).collect();
         Forecast::Known(Trend {
             level: last.kb,
             bucket: last.bucket,
@@ -225,18 +229,18 @@
             slope,
             span,
             spread,
-            spans: places.len(),
-            sure: deviations(settings.level),
-            rhythm,
+            spans: known_spans.len(),
+            quantile: quantile_of(settings.level),
+            seasonality,
             sums,
         })
     }
 }
 
 impl Trend {
-    /// How many spans' growth the rhythm puts into the next buckets.
-    fn lasts(&self, buckets: u64) -> f64 {
-        let week = self.rhythm.len() as u64;
+    /// Returns the growth of the next `buckets` buckets in units of one span's growth, with the seasonality.
+    fn spans_in(&self, buckets: u64) -> f64 {
+        let week = self.seasonality.len() as u64;
         if week == 0 {
             return buckets as f64 / self.span as f64;
         }
@@ -247,33 +251,40 @@
         weeks as f64 * 7.0 + rest
     }
 
-    /// The size at the end of so many buckets after the last known one. Sizes do not shrink by themselves.
+    /// Returns the forecast size `buckets` buckets after the last known one. Sizes do not shrink.
     pub fn after(&self, buckets: u64) -> Interval {
-        let lasts = self.lasts(buckets);
-        // A rising rate rises by less each span ahead; a falling one falls by the same part, and so never below nothing.
+        let horizon = self.spans_in(buckets);
+        // A rising rate rises by less each future span; a falling rate falls by the same fraction and so stays positive.
         let change = |spans: f64| {
-            DAMPED / (1.0 - DAMPED) * (spans - (1.0 - DAMPED.powf(spans)) / (1.0 - DAMPED) * DAMPED)
+            TREND_DAMPING / (1.0 - TREND_DAMPING)
+                * (spans - (1.0 - TREND_DAMPING.powf(spans)) / (1.0 - TREND_DAMPING) * TREND_DAMPING)
         };
-        let held = self.rate.max(0.0) * lasts;
+        let at_current_rate = self.rate.max(0.0) * horizon;
         let growth = if self.slope >= 0.0 {
-            held + self.slope * change(lasts)
+            at_current_rate + self.slope * change(horizon)
         } else {
             let part = self.rate.max(0.0) / (self.rate.max(0.0) - self.slope);
-            self.rate.max(0.0) * part * (1.0 - part.powf(lasts)) / (1.0 - part)
+            self.rate.max(0.0) * part * (1.0 - part.powf(horizon)) / (1.0 - part)
         };
-        let many = self.spans as f64;
-        let turn = if self.slope == 0.0 { 0.0 } else { 12.0 * (lasts + many).powi(2) / 4.0 / many.powi(3) };
-        let variance = lasts + lasts * lasts * (MEDIAN / many.min(LATEST as f64) + turn);
-        let off = self.sure * (self.spread.powi(2) * variance + (ERROR * self.level).powi(2)).sqrt();
-        // Danger: a rate that falls may stop falling at any time; the high end does not count on it.
-        let (low, high) = ((growth - off).max(0.0), growth.max(held) + off);
+        let span_count = self.spans as f64;
+        let slope_variance = if self.slope == 0.0 {
+            0.0
+        } else {
+            12.0 * (horizon + span_count).powi(2) / 4.0 / span_count.powi(3)
+        };
+        let variance = horizon
+            + horizon * horizon * (MEDIAN_VARIANCE / span_count.min(LATEST_SPANS as f64) + slope_variance);
+        let margin = self.quantile * (self.spread.powi(2) * variance + (ERROR * self.level).powi(2)).sqrt();
+        // A falling rate may stop falling at any time, so the high end assumes at least the current rate.
+        let (low, high) = ((growth - margin).max(0.0), growth.max(at_current_rate) + margin);
         Interval { low: self.level + low, middle: self.level + growth, high: self.level + high }
     }
 
-    /// The buckets in which a size is passed: by the high end, the middle and the low end; none within `ahead`.
+    /// Returns the buckets in which the high end, the middle and the low end of the forecast reach a size; `None` if that
+    /// is more than `ahead` buckets after the last known one.
     pub fn passes(&self, kb: f64, ahead: u64) -> [Option<u64>; 3] {
         [|i: Interval| i.high, |i: Interval| i.middle, |i: Interval| i.low].map(|end| {
-            // Sizes only rise, so the first one is found by halving.
+            // Forecast sizes never decrease, so a binary search finds the first bucket.
             let (mut below, mut above) = (0, ahead.saturating_add(1));
             while below < above {
                 let middle = below + (above - below) / 2;
@@ -287,15 +298,15 @@
         })
     }
 
-    /// Growth of a week, so many weeks ahead (0: the coming one), at the interval's middle and high end, against the
-    /// week at today's rate; 1 where nothing grows.
+    /// Returns the growth in a future week (0 for the coming one) at the interval's middle and high end, relative to a
+    /// week at the current rate; 1 without growth. `buckets` is the number of buckets in a week.
     pub fn factor(&self, week: u64, buckets: u64) -> [f64; 2] {
         let (from, to) =
             (self.after(week.saturating_mul(buckets)), self.after((week + 1).saturating_mul(buckets)));
-        let now = self.rate * self.lasts(buckets);
-        if now <= 0.0 {
+        let current = self.rate * self.spans_in(buckets);
+        if current <= 0.0 {
             return [1.0; 2];
         }
-        [(to.middle - from.middle) / now, (to.high - from.high) / now].map(|f| f.max(0.0))
+        [(to.middle - from.middle) / current, (to.high - from.high) / current].map(|f| f.max(0.0))
     }
 }
--- a/src/growth/mod.rs
+++ b/src/growth/mod.rs
@@ -1,8 +1,8 @@
-//! Growth of shards: what is newly requested of each, its forecast, and splits ahead of time.
+//! Growth of shards: counts of newly requested objects, forecasts of shard sizes, and splits scheduled ahead of time.
 //!
-//! Every instance counts what is newly requested ([`buckets::Growth`]) and writes it to the registry; the planner adds the
-//! documents up, forecasts each shard and schedules splits ([`ahead::Ahead`]). None of these modules has a clock or does
-//! I/O; `proxy::rebalancing` owns them.
+//! Every instance counts newly requested objects ([`buckets::Growth`]) and writes the counts to the registry; the planner
+//! merges the documents, forecasts each shard and schedules splits ([`ahead::Ahead`]). None of these modules reads a
+//! clock or does I/O; `proxy::rebalancing` owns them.
 
 pub mod ahead;
 pub mod buckets;
@@ -15,60 +15,62 @@
 use serde::{de::DeserializeOwned, Serialize};
 use thiserror::Error;
 
-/// Format of all documents of growth.
+/// Format of all growth documents.
 const FORMAT: u8 = 1;
-/// Longest document, in bytes.
+/// Maximum size of a document, in bytes.
 const MAX_BYTES: usize = 1 << 20;
 
-/// What goes wrong, and what an operator can do.
+/// Error in a growth document. The message says what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GrowthError {
-    /// Longer than any that is written.
+    /// The document is longer than any that an instance writes.
     #[error(
-        "{what} has {length} bytes, over the most of 1 MB; look who else writes below the fleet's prefix"
+        "{what} has {length} bytes, more than the maximum of 1 MB; check what else writes below the fleet's prefix"
     )]
-    Length {
-        /// Which document.
+    TooLong {
+        /// Kind of the document.
         what: &'static str,
-        /// Its bytes.
+        /// Length of the document, in bytes.
         length: usize,
     },
-    /// Of another version of the program.
-    #[error("{what} has format {format}, this instance reads {FORMAT}; bring all instances to one version")]
+    /// The document was written by a version with another format.
+    #[error("{what} has format {format}, but this instance reads format {FORMAT}; run the same version on all instances")]
     Format {
-        /// Which document.
+        /// Kind of the document.
         what: &'static str,
-        /// Its format.
+        /// Format of the document.
         format: u8,
     },
-    /// Torn or changed.
-    #[error("{what} is torn: its checksum is wrong; it is left out, delete its key if this stays")]
+    /// The document is truncated or corrupt.
+    #[error(
+        "{what} is corrupt: its checksum is wrong; the document is ignored, delete its key if this persists"
+    )]
     Checksum {
-        /// Which document.
+        /// Kind of the document.
         what: &'static str,
     },
-    /// Whole, but not what is written.
-    #[error("{what} cannot be read though it is whole; it is left out, delete its key if this stays")]
-    Form {
-        /// Which document.
+    /// The document has a valid checksum but invalid contents.
+    #[error("{what} is intact but malformed; the document is ignored, delete its key if this persists")]
+    Malformed {
+        /// Kind of the document.
         what: &'static str,
     },
-    /// From a time that is not yet.
-    #[error("instance {member} wrote the bucket {bucket}, which is not yet; set its clock, delete that key")]
-    Ahead {
-        /// Who wrote it.
+    /// The document's bucket is in the future.
+    #[error("instance {member} wrote the bucket {bucket}, which is in the future; correct its clock and delete that key")]
+    FutureBucket {
+        /// Instance that wrote the document.
         member: String,
-        /// Of which bucket.
+        /// Number of the bucket.
         bucket: u64,
     },
 }
 
-/// Format, checksum, content.
+/// Encodes a document: format, checksum and content.
 ///
 /// # Panics
 ///
-/// Never for the documents of this module: numbers, strings and lists are encoded into memory without an error.
-fn seal<T: Serialize>(content: &T) -> Vec<u8> {
+/// Never for the documents of this module: encoding numbers, strings and lists into memory can't fail.
+fn encode_document<T: Serialize>(content: &T) -> Vec<u8> {
     let content = postcard::to_stdvec(content).expect("numbers, strings and lists are encodable");
     let mut bytes = vec![FORMAT];
     bytes.extend(crc32fast::hash(&content).to_le_bytes());
@@ -76,9 +78,10 @@
     bytes
 }
 
-fn open<T: DeserializeOwned>(bytes: &[u8], what: &'static str) -> Result<T, GrowthError> {
+/// Decodes the content of a document; `what` is its kind in error messages.
+fn decode_document<T: DeserializeOwned>(bytes: &[u8], what: &'static str) -> Result<T, GrowthError> {
     if bytes.len() > MAX_BYTES {
-        return Err(GrowthError::Length { what, length: bytes.len() });
+        return Err(GrowthError::TooLong { what, length: bytes.len() });
     }
     match bytes {
         [format, ..] if *format != FORMAT => Err(GrowthError::Format { what, format: *format }),
@@ -88,31 +91,32 @@
             }
             match postcard::take_from_bytes(content) {
                 Ok((content, [])) => Ok(content),
-                _ => Err(GrowthError::Form { what }),
+                _ => Err(GrowthError::Malformed { what }),
             }
         }
-        _ => Err(GrowthError::Form { what }),
+        _ => Err(GrowthError::Malformed { what }),
     }
 }
 
-/// What `growth(...)` of the product's script sets. Times in microseconds.
+/// Settings of `growth(...)` in the product's script. Times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// One bucket of what was newly wanted lasts so long.
+    /// Duration of one bucket of counts.
     pub bucket: Micros,
-    /// Buckets that are kept and forecast from.
+    /// Number of buckets in the history from which growth is forecast.
     pub buckets: usize,
-    /// Kilobytes that a box of weight 1 keeps; with untold weights, any box.
+    /// Cache capacity of an endpoint of weight 1, in kilobytes; of every endpoint if no weights are set.
     pub box_kb: f64,
-    /// Part of a box's kept bytes that one shard may grow to before it has to be split, 0 to 1.
+    /// Fraction of an endpoint's cache capacity at which a shard has to be split, 0 to 1.
     pub split: f64,
-    /// Two neighbours of one home that together stay below this part are merged again, 0 to 1.
+    /// Fraction of an endpoint's cache capacity below which two neighbouring shards of one home are merged, 0 to 1.
     pub merge: f64,
-    /// Buckets ahead that are forecast.
+    /// Number of buckets to forecast.
     pub ahead: usize,
-    /// How sure the forecast's interval is, 0 to 1.
+    /// Confidence level of the forecast's interval, 0 to 1.
     pub level: f64,
-    /// Buckets that wait in memory while the registry is away; beyond, the oldest are merged.
+    /// Maximum number of closed buckets kept in memory while the registry is unreachable; beyond it, the oldest are
+    /// merged.
     pub waiting: usize,
 }
 
--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -1,71 +1,72 @@
-//! Splits ahead of time: each in the last quiet window that leaves a later one for moving a half before the shard is
-//! full by the early end of its forecast. A split moves nothing, both halves keep their home; a later move does.
+//! Schedule of splits ahead of time. A split is scheduled in the last quiet window that leaves a later window for moving
+//! one half before the shard is full by the early end of its forecast. A split moves no data: both halves keep their home,
+//! and a later move relieves the endpoint.
 //!
-//! The planner asks shard by shard, in slices of its own choosing. The schedule is a document of the registry, so the
-//! successor of a planner that was killed keeps it; a split that was carried out shows in the map, by its epoch.
+//! The planner schedules shard by shard, in slices of its choice. The schedule is a document in the registry, so that the
+//! next planner continues with it after a failure; an applied split shows in the map.
 
 use super::forecast::Forecast;
-use super::{open, seal, GrowthError, Settings};
+use super::{decode_document, encode_document, GrowthError, Settings};
 use crate::routing::events::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most shards that may be scheduled in one zone.
-pub const MOST: usize = 10_000;
-/// A quiet window, in Unix milliseconds: from, and up to.
+/// Maximum number of scheduled splits of one zone.
+pub const MAX_SPLITS: usize = 10_000;
+/// A quiet window: start and end, in Unix milliseconds.
 pub type Window = (u64, u64);
 
-/// A shard as the map has it.
+/// A shard of the map, with the capacity of its home.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard {
-    /// Where it begins.
+    /// First position of the shard.
     pub start: u64,
-    /// Its last place, itself included.
+    /// Last position of the shard.
     pub last: u64,
-    /// Its home; `None`: by the order of the hash.
+    /// Home of the shard; `None` if the hash order decides.
     pub home: Option<Id>,
-    /// What that home keeps, in kilobytes: `box_kb` times its weight.
+    /// Cache capacity of the home, in kilobytes: the setting `box_kb` times its weight.
     pub box_kb: f64,
 }
 
 impl Shard {
-    /// Where the upper half begins; `None` where there is nothing left to halve.
+    /// Returns the start of the upper half; `None` if the shard is too small to split.
     pub fn middle(&self) -> Option<u64> {
         let half = self.last.checked_sub(self.start)? / 2;
         (half > 0).then(|| self.start + half + 1)
     }
 }
 
-/// A split that is planned.
+/// A scheduled split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
-    /// Where the shard begins.
+    /// Start of the shard.
     pub start: u64,
-    /// Where its upper half will begin.
+    /// Start of the upper half.
     pub middle: u64,
-    /// When it is done, in Unix milliseconds: from, and up to.
+    /// Window in which the split is made.
     pub window: Window,
-    /// When the shard is full by the early end of its forecast, in Unix milliseconds.
+    /// Time at which the shard is full by the early end of its forecast, in Unix milliseconds.
     pub full: u64,
 }
 
-/// What operators are told.
+/// A problem with scheduling splits, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Not in time.
+    /// The windows do not allow a split and a move before the shard is full.
     NoWindow {
-        /// The shard.
+        /// Start of the shard.
         start: u64,
-        /// When it is full, in Unix milliseconds.
+        /// Time at which the shard is full, in Unix milliseconds.
         full: u64,
     },
-    /// It is as small as a shard may be.
-    Smallest {
-        /// The shard.
+    /// The shard is too small to split.
+    TooSmall {
+        /// Start of the shard.
         start: u64,
     },
-    /// As many are scheduled as may be.
-    Many,
+    /// The maximum number of splits is scheduled.
+    TooManySplits,
 }
 
 impl std::fmt::Display for Notice {
@@ -73,18 +74,18 @@
         match self {
             Notice::NoWindow { start, full } => write!(
                 f,
-                "shard {start:016x} may be full at {full} (Unix ms), and no two windows before that leave room for a \
-                 split and a move: widen quiet hours or add a box"
+                "shard {start:016x} may be full at {full} (Unix ms), and no two windows before then fit a split and a \
+                 move: extend the quiet windows or add an endpoint"
             ),
-            Notice::Smallest { start } => {
-                write!(f, "shard {start:016x} will be full and cannot be halved: add a box or raise its weight")
+            Notice::TooSmall { start } => {
+                write!(f, "shard {start:016x} will be full and cannot be split further: add an endpoint or raise its weight")
             }
-            Notice::Many => write!(f, "{MOST} splits of one zone are scheduled, no more are: add boxes"),
+            Notice::TooManySplits => write!(f, "the maximum of {MAX_SPLITS} splits of one zone is scheduled: add endpoints"),
         }
     }
 }
 
-/// The schedule of one zone.
+/// The split schedule of one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scheduler {
     settings: Settings,
@@ -92,38 +93,40 @@
 }
 
 impl Scheduler {
-    /// Nothing is scheduled.
+    /// Returns an empty schedule.
     pub fn new(settings: Settings) -> Self {
         Scheduler { settings, splits: BTreeMap::new() }
     }
 
-    /// The key of the schedule below the fleet's prefix.
+    /// Returns the key of a zone's schedule below the fleet's prefix.
     pub fn key(zone: &str) -> String {
         format!("growth-schedule/{zone}")
     }
 
-    /// The schedule as a document; the same for the same schedule.
+    /// Encodes the schedule as a document; equal schedules have equal documents.
     pub fn encode(&self) -> Vec<u8> {
-        seal(&self.splits.values().collect::<Vec<_>>())
+        encode_document(&self.splits.values().collect::<Vec<_>>())
     }
 
-    /// Goes on with the schedule of the planner before.
+    /// Decodes the schedule that a previous planner wrote.
     ///
     /// # Errors
-    /// Bytes that are no schedule; plan without, the forecast gives it again but for what a window has begun.
+    /// The bytes are no schedule. Planning can start without it: the forecast schedules the same splits again, except
+    /// those whose window has begun.
     pub fn decode(settings: Settings, bytes: &[u8]) -> Result<Self, GrowthError> {
-        let what = "the schedule of splits";
-        let splits: Vec<Split> = open(bytes, what)?;
-        let orderly = splits.windows(2).all(|s| s[0].start < s[1].start);
-        let whole = splits.iter().all(|s| s.middle > s.start && s.window.0 < s.window.1);
-        if splits.len() > MOST || !orderly || !whole {
-            return Err(GrowthError::Form { what });
+        let what = "the split schedule";
+        let splits: Vec<Split> = decode_document(bytes, what)?;
+        let is_ascending = splits.windows(2).all(|s| s[0].start < s[1].start);
+        let is_valid = splits.iter().all(|s| s.middle > s.start && s.window.0 < s.window.1);
+        if splits.len() > MAX_SPLITS || !is_ascending || !is_valid {
+            return Err(GrowthError::Malformed { what });
         }
         Ok(Scheduler { settings, splits: splits.into_iter().map(|s| (s.start, s)).collect() })
     }
 
-    /// Decides anew about one shard. `windows`: the zone's quiet windows from now on, by their begin, also one that is
-    /// open; `moves_ms`: how long moving half of the shard takes. Constant time but for the number of windows.
+    /// Schedules one shard again. `windows` are the zone's quiet windows from now on, ordered by start and including an
+    /// open one; `moves_ms` is how long moving half of the shard takes, in milliseconds. The run time depends only on the
+    /// number of windows.
     pub fn plan(
         &mut self,
         now_ms: u64,
@@ -132,28 +135,29 @@
         windows: &[Window],
         moves_ms: u64,
     ) -> Option<Notice> {
-        let planned = self.splits.get(&shard.start).copied();
-        // A window that is open is not left: the split may be under way.
-        if planned.is_some_and(|s| s.window.0 <= now_ms && now_ms < s.window.1) {
+        let scheduled = self.splits.get(&shard.start).copied();
+        // A split whose window is open stays scheduled: it may be in progress.
+        if scheduled.is_some_and(|s| s.window.0 <= now_ms && now_ms < s.window.1) {
             return None;
         }
         let Forecast::Known(trend) = forecast else { return None };
-        let [early, ..] = trend.passes(self.settings.split * shard.box_kb, self.settings.ahead as u64);
-        let Some(early) = early else {
+        let [full_bucket, ..] = trend.passes(self.settings.split * shard.box_kb, self.settings.ahead as u64);
+        let Some(full_bucket) = full_bucket else {
             self.splits.remove(&shard.start);
             return None;
         };
-        let Some(middle) = shard.middle() else { return Some(Notice::Smallest { start: shard.start }) };
-        if planned.is_none() && self.splits.len() >= MOST {
-            return Some(Notice::Many);
+        let Some(middle) = shard.middle() else { return Some(Notice::TooSmall { start: shard.start }) };
+        if scheduled.is_none() && self.splits.len() >= MAX_SPLITS {
+            return Some(Notice::TooManySplits);
         }
-        // Full at some time in that bucket, so at its begin at the earliest.
-        let full = (u128::from(early) * u128::from(self.settings.bucket) / 1_000) as u64;
+        // The shard becomes full at some time in that bucket; the start of the bucket is the earliest time.
+        let full = (u128::from(full_bucket) * u128::from(self.settings.bucket) / 1_000) as u64;
         let ahead = || windows.iter().copied().filter(|w| w.1 > now_ms && w.0 < w.1);
-        let room = |w: &Window| w.1 <= full && w.1 - w.0.max(now_ms) >= moves_ms;
-        let moving = ahead().filter(room).max_by_key(|w| w.0);
-        let before = moving.and_then(|m| ahead().filter(|w| w.1 <= m.0).max_by_key(|w| w.0));
-        // Too late for both: split as soon as can be, the move is the planner's next.
+        let fits_move = |w: &Window| w.1 <= full && w.1 - w.0.max(now_ms) >= moves_ms;
+        let move_window = ahead().filter(fits_move).max_by_key(|w| w.0);
+        let before = move_window.and_then(|m| ahead().filter(|w| w.1 <= m.0).max_by_key(|w| w.0));
+        // Too late for a split and a move: schedules the split in the next window, and the planner can move a half
+        // afterwards.
         let Some(window) = before.or_else(|| ahead().min_by_key(|w| w.0)) else {
             return Some(Notice::NoWindow { start: shard.start, full });
         };
@@ -161,7 +165,7 @@
         before.is_none().then_some(Notice::NoWindow { start: shard.start, full })
     }
 
-    /// Splits whose window is open, in order of how early their shard is full.
+    /// Returns the splits whose window is open, ordered by the time at which their shard is full.
     pub fn due(&self, now_ms: u64) -> Vec<Split> {
         let open = |s: &&Split| s.window.0 <= now_ms && now_ms < s.window.1;
         let mut due: Vec<Split> = self.splits.values().filter(open).copied().collect();
@@ -169,36 +173,39 @@
         due
     }
 
-    /// All that is scheduled, by start.
+    /// Returns all scheduled splits, ordered by the start of their shard.
     pub fn scheduled(&self) -> impl Iterator<Item = &Split> {
         self.splits.values()
     }
 
-    /// Takes the map as it now is: what was split, or is no shard any more, is off the schedule.
+    /// Applies the current map: removes the splits of shards that were split or merged.
     pub fn follow(&mut self, shards: &[Shard]) {
         let mut middles: Vec<(u64, Option<u64>)> = shards.iter().map(|s| (s.start, s.middle())).collect();
         middles.sort_unstable();
         self.splits.retain(|_, s| middles.binary_search(&(s.start, Some(s.middle))).is_ok());
     }
 
-    /// Neighbours, in order of their starts, that may be one shard again: one home, together below `merge` of its box
-    /// now, and below half of `split` by the high end of all that is forecast, so that they are not soon split again.
-    /// Gives the start of the second of each pair; no shard is in two pairs.
+    /// Returns the pairs of neighbouring shards to merge, by the start of the second shard of each pair; no shard is in
+    /// two pairs. Both shards have the same home and no scheduled split. Together they are below `merge` of the home's
+    /// capacity now, and below half of `split` by the high end of the whole forecast, so that they are not soon split
+    /// again. `shards` are ordered by start.
     pub fn merges(&self, shards: &[(Shard, Forecast)]) -> Vec<u64> {
         let mut merges = Vec::new();
         let mut last = None;
         for pair in shards.windows(2) {
-            let [(a, of_a), (b, of_b)] = pair else { continue };
-            let (Forecast::Known(of_a), Forecast::Known(of_b)) = (of_a, of_b) else { continue };
+            let [(a, trend_a), (b, trend_b)] = pair else { continue };
+            let (Forecast::Known(trend_a), Forecast::Known(trend_b)) = (trend_a, trend_b) else {
+                continue;
+            };
             let neighbours = a.last.checked_add(1) == Some(b.start) && a.home.is_some() && a.home == b.home;
-            let planned = self.splits.contains_key(&a.start) || self.splits.contains_key(&b.start);
-            if !neighbours || planned || last == Some(a.start) {
+            let scheduled = self.splits.contains_key(&a.start) || self.splits.contains_key(&b.start);
+            if !neighbours || scheduled || last == Some(a.start) {
                 continue;
             }
             let (box_kb, ahead) = (a.box_kb.min(b.box_kb), self.settings.ahead as u64);
-            let later = of_a.after(ahead).high + of_b.after(ahead).high;
-            if of_a.level + of_b.level < self.settings.merge * box_kb
-                && later < self.settings.split * box_kb / 2.0
+            let forecast_kb = trend_a.after(ahead).high + trend_b.after(ahead).high;
+            if trend_a.level + trend_b.level < self.settings.merge * box_kb
+                && forecast_kb < self.settings.split * box_kb / 2.0
             {
                 merges.push(b.start);
                 last = Some(b.start);
@@ -208,8 +215,8 @@
     }
 }
 
-/// By how much the fills of a zone's shards grow in each of the coming weeks against today's, at the high end; with
-/// the site plan's check this tells from which week on a loss cannot be borne.
+/// Returns the growth of the fills of a zone's shards in each of the coming weeks, relative to today's, by the high end of
+/// the forecasts. With it, the check of site plans finds the week from which on the loss of a site exceeds the capacity.
 pub fn factors<'a>(
     forecasts: impl Iterator<Item = &'a Forecast> + Clone,
     weeks: u64,
@@ -222,7 +229,7 @@
     (0..weeks.min(520)).map(|n| if now > 0.0 { factor(n) } else { 1.0 }).collect()
 }
 
-/// The first week, 0 for the coming one, from which on the load times its factor does not fit any more.
-pub fn first_week_not_borne(factors: &[f64], fits: impl Fn(f64) -> bool) -> Option<usize> {
+/// Returns the first week, 0 for the coming one, in which the load times its factor no longer fits.
+pub fn first_week_over_capacity(factors: &[f64], fits: impl Fn(f64) -> bool) -> Option<usize> {
     factors.iter().position(|&f| !fits(f))
 }
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -5,7 +5,7 @@
 use larchdale::growth::ahead::Ahead;
 use larchdale::growth::buckets::{Document, Growth, Point};
 use larchdale::growth::forecast::Forecast;
-use larchdale::growth::splits::{first_week_not_borne, Notice, Scheduler, Shard, Window};
+use larchdale::growth::splits::{first_week_over_capacity, Notice, Scheduler, Shard, Window};
 use larchdale::growth::{GrowthError, Settings};
 use larchdale::placement::load::{MeasuredShard, Work};
 use larchdale::placement::map::ShardMap;
@@ -19,7 +19,7 @@
 
 fn write_error(digest: &mut Digest, error: &GrowthError) {
     match error {
-        GrowthError::Length { length, .. } => {
+        GrowthError::TooLong { length, .. } => {
             digest.tag(1);
             digest.count(*length);
         }
@@ -28,8 +28,8 @@
             digest.tag(*format);
         }
         GrowthError::Checksum { .. } => digest.tag(3),
-        GrowthError::Form { .. } => digest.tag(4),
-        GrowthError::Ahead { member, bucket } => {
+        GrowthError::Malformed { .. } => digest.tag(4),
+        GrowthError::FutureBucket { member, bucket } => {
             digest.tag(5);
             digest.text(member);
             digest.number(*bucket);
@@ -44,11 +44,11 @@
             digest.number(*start);
             digest.number(*full);
         }
-        Notice::Smallest { start } => {
+        Notice::TooSmall { start } => {
             digest.tag(2);
             digest.number(*start);
         }
-        Notice::Many => digest.tag(3),
+        Notice::TooManySplits => digest.tag(3),
     }
 }
 
@@ -146,7 +146,7 @@
         }
         let digest = &mut self.digest;
         digest.floats(self.ahead.weeks());
-        digest.option(first_week_not_borne(self.ahead.weeks(), |factor| factor < 1.3), Digest::count);
+        digest.option(first_week_over_capacity(self.ahead.weeks(), |factor| factor < 1.3), Digest::count);
         for MeasuredShard { start, load, kb } in self.ahead.loads() {
             digest.number(*start);
             digest.float(*load);
