--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -1,7 +1,7 @@
-//! Growth: counted buckets, their union, forecasts, and the planner's look ahead with splits and merges.
+//! Golden tests of growth: counted buckets, their union, forecasts, and the planner's schedule of splits and merges.
 
 use crate::digest::{expect, Digest};
-use crate::placement::write_wish;
+use crate::placement::write_change;
 use larchdale::growth::ahead::Ahead;
 use larchdale::growth::buckets::{Document, Growth, Point};
 use larchdale::growth::forecast::Forecast;
@@ -52,8 +52,8 @@
     }
 }
 
-/// A zone: instances that count, and a planner that looks ahead.
-struct Play {
+/// A zone with instances that count requests, and a planner that forecasts growth.
+struct Zone {
     rng: Pcg32,
     instances: Vec<Growth>,
     ahead: Ahead,
@@ -61,13 +61,13 @@
     schedule: Option<Vec<u8>>,
     keys: Vec<String>,
     work: Work,
-    wishes: usize,
+    change_count: usize,
     digest: Digest,
 }
 
-impl Play {
+impl Zone {
     fn new(seed: u64) -> Self {
-        // Some shards grow fast, so that splits are wished for; most are small, so that merges are.
+        // Some shards grow fast, so that splits are requested; most are small, so that merges are requested.
         let settings =
             Settings { buckets: 90, box_kb: 200_000.0, merge: 0.2, waiting: 5, ..Settings::default() };
         let instance = |number: u64| Growth::new(settings.clone(), "west", &format!("d{number}"), number + 1);
@@ -75,7 +75,7 @@
         for (number, shard) in map.shards.iter_mut().enumerate() {
             shard.home = [Some("a".into()), Some("b".into()), None][number / 2].clone();
         }
-        Play {
+        Zone {
             rng: Pcg32::seed_from_u64(seed),
             instances: (0..3).map(instance).collect(),
             ahead: Ahead::new(settings, "west"),
@@ -83,7 +83,7 @@
             schedule: None,
             keys: Vec::new(),
             work: Work::default(),
-            wishes: 0,
+            change_count: 0,
             digest: Digest::new(),
         }
     }
@@ -105,7 +105,7 @@
                 digest.text(&key);
                 digest.bytes(&bytes);
             });
-            // Now and then the registry is away for this instance.
+            // An instance reaches the registry in one of three hours on average.
             if self.rng.random_ratio(1, 3) {
                 self.write(number, now_ms);
             }
@@ -117,29 +117,29 @@
             self.digest.text(&key);
             self.digest.bytes(&bytes);
             let torn = self.rng.random_ratio(1, 20).then(|| bytes[..bytes.len() / 2].to_vec());
-            let early = if self.rng.random_ratio(1, 20) { 40 * HOUR_MS } else { 0 };
-            let taken = self.ahead.document(torn.as_ref().unwrap_or(&bytes), now_ms - early);
-            self.digest.option(taken.err(), |digest, error| write_error(digest, &error));
+            let clock_lag_ms = if self.rng.random_ratio(1, 20) { 40 * HOUR_MS } else { 0 };
+            let result = self.ahead.document(torn.as_ref().unwrap_or(&bytes), now_ms - clock_lag_ms);
+            self.digest.option(result.err(), |digest, error| write_error(digest, &error));
             self.instances[number].written(&key);
             self.keys.push(key);
         }
     }
 
-    fn look(&mut self, hour: u64) {
+    fn run_forecast(&mut self, hour: u64) {
         let now_ms = (FIRST_HOUR + hour) * HOUR_MS;
-        let place = |id: &str, weight| EndpointCapacity {
+        let endpoint = |id: &str, weight| EndpointCapacity {
             id: id.into(),
             weight,
             accepts_requests: true,
             in_slow_start: false,
             spare_kb_s: 1e6,
         };
-        let places = [place("a", 1.0), place("b", self.rng.random_range(0.1..1.0))];
+        let endpoints = [endpoint("a", 1.0), endpoint("b", self.rng.random_range(0.1..1.0))];
         let window = |day: u64| (now_ms + (day * 24 + 2) * HOUR_MS, now_ms + (day * 24 + 6) * HOUR_MS);
         let windows: Vec<Window> = (0..self.rng.random_range(1..40)).map(window).collect();
-        let (kb_s, kept) = (self.rng.random_range(0.3..2.0), self.schedule.as_deref());
-        let begun = self.ahead.begin(&self.map, &places, &windows, kb_s, &self.work, kept);
-        self.digest.option(begun.err(), |digest, error| write_error(digest, &error));
+        let (kb_s, stored_schedule) = (self.rng.random_range(0.3..2.0), self.schedule.as_deref());
+        let result = self.ahead.begin(&self.map, &endpoints, &windows, kb_s, &self.work, stored_schedule);
+        self.digest.option(result.err(), |digest, error| write_error(digest, &error));
         while !self.ahead.done() {
             let notices = self.ahead.step(now_ms);
             notices.iter().for_each(|notice| write_notice(&mut self.digest, notice));
@@ -152,9 +152,9 @@
             digest.float(*load);
             digest.float(*kb);
         }
-        let wishes = self.ahead.requested_changes().unwrap_or_default();
-        self.wishes += wishes.len();
-        wishes.iter().for_each(|wish| write_wish(digest, wish));
+        let changes = self.ahead.requested_changes().unwrap_or_default();
+        self.change_count += changes.len();
+        changes.iter().for_each(|change| write_change(digest, change));
         if let Some(schedule) = self.ahead.schedule() {
             digest.bytes(&schedule);
             self.schedule = Some(schedule);
@@ -167,19 +167,23 @@
     }
 }
 
-fn look_ahead(seed: u64) -> u64 {
-    let mut play = Play::new(seed);
+fn forecasts_and_changes(seed: u64) -> u64 {
+    let mut zone = Zone::new(seed);
     for hour in 0..HOURS {
-        play.hour(hour);
+        zone.hour(hour);
         if hour % 40 == 39 {
-            play.look(hour);
+            zone.run_forecast(hour);
         }
     }
-    assert!(play.wishes > 3 && Document::decode(&[1, 2]).is_err(), "too calm: {}", play.wishes);
-    play.digest.finish()
+    assert!(
+        zone.change_count > 3 && Document::decode(&[1, 2]).is_err(),
+        "too few changes: {}",
+        zone.change_count
+    );
+    zone.digest.finish()
 }
 
-/// Forecasts of histories with floods, purges, gaps and a day's rhythm.
+/// Records forecasts of histories with floods, purges, gaps and daily seasonality.
 fn forecasts(seed: u64) -> u64 {
     let (mut rng, mut digest, mut known) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
     for _ in 0..24 {
@@ -188,11 +192,11 @@
         let (flood, purge, gap) =
             (rng.random_range(0..hours), rng.random_range(0..hours), rng.random_range(0..hours));
         let point = |hour: u64| {
-            // Triangles in place of a sine: the same bits on every machine.
-            let rhythm = wave * (12.0 - (hour % 24) as f64).abs();
+            // A triangle wave instead of a sine, for bit-identical values on every machine.
+            let seasonal = wave * (12.0 - (hour % 24) as f64).abs();
             let flooded = 5_000.0 * hour.saturating_sub(flood).min(12) as f64;
             let purged = if hour >= purge { 4e5 } else { 0.0 };
-            let kb = 1e6 + rate * hour as f64 + rhythm + flooded - purged;
+            let kb = 1e6 + rate * hour as f64 + seasonal + flooded - purged;
             let known = !(gap..gap + 20).contains(&hour);
             Point { bucket: FIRST_HOUR + hour, objects: kb / 10.0, kb, writes: 1.0, known }
         };
@@ -219,11 +223,11 @@
             }
         }
     }
-    assert!(known > 10, "too calm: {known}");
+    assert!(known > 10, "too few forecasts: {known}");
     digest.finish()
 }
 
-/// Splits and merges of neighbours that grow at different rates, day by day.
+/// Records the daily splits and merges of neighbouring shards that grow at different rates.
 fn schedules(seed: u64) -> u64 {
     let (mut rng, mut digest, mut seen) = (Pcg32::seed_from_u64(seed), Digest::new(), [0; 2]);
     let settings = Settings { merge: 0.2, ..Settings::default() };
@@ -262,21 +266,21 @@
             digest.bytes(&scheduler.encode());
         }
     }
-    assert!(seen.iter().all(|&count| count > 20), "too calm: {seen:?}");
+    assert!(seen.iter().all(|&count| count > 20), "too few splits or merges: {seen:?}");
     digest.finish()
 }
 
 #[test]
-fn schedules_are_as_before() {
+fn split_schedules_match_the_recorded_digest() {
     expect("the schedules of splits", schedules, &[0x6f793eacd2b46580]);
 }
 
 #[test]
-fn the_look_ahead_decides_as_before() {
-    expect("the look ahead at growth", look_ahead, &[0xfe2a1b1e96ff984a, 0x86581d0dd968293f]);
+fn growth_planner_decisions_match_the_recorded_digests() {
+    expect("the look ahead at growth", forecasts_and_changes, &[0xfe2a1b1e96ff984a, 0x86581d0dd968293f]);
 }
 
 #[test]
-fn forecasts_are_as_before() {
+fn forecasts_match_the_recorded_digest() {
     expect("the forecasts of growth", forecasts, &[0xf0fb4b1196421eda]);
 }
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -1,5 +1,5 @@
-//! Shards and their homes: the planner with a registry and a fleet, the follower, the choice of moves, quiet hours and
-//! counted work.
+//! Golden tests of shard placement: the planner with a registry and a fleet, the follower, the choice of moves, quiet
+//! windows and measured work.
 
 use crate::digest::{expect, Digest};
 use jiff::tz::TimeZone;
@@ -20,10 +20,10 @@
 
 const START_MS: u64 = 1_800_000_000_000;
 const HOUR_MS: u64 = 3_600_000;
-const SECONDS: usize = 15_000;
-const BOXES: usize = 4;
+const STEPS: usize = 15_000;
+const ENDPOINTS: usize = 4;
 
-fn moment(ms: u64) -> Timestamp {
+fn timestamp(ms: u64) -> Timestamp {
     Timestamp::from_millisecond(ms as i64).unwrap()
 }
 
@@ -47,8 +47,8 @@
     }
 }
 
-fn why_tag(why: Reason) -> u8 {
-    match why {
+fn reason_tag(reason: Reason) -> u8 {
+    match reason {
         Reason::WindowEnds => 1,
         Reason::Site => 2,
         Reason::ClockStepped => 3,
@@ -58,8 +58,8 @@
     }
 }
 
-pub fn write_wish(digest: &mut Digest, wish: &Change) {
-    match wish {
+pub fn write_change(digest: &mut Digest, change: &Change) {
+    match change {
         Change::Split { start, at, not_before_ms } => {
             digest.tag(1);
             [start, at, not_before_ms].into_iter().for_each(|number| digest.number(*number));
@@ -101,19 +101,19 @@
             digest.tag(6);
             digest.number(*start);
         }
-        Notice::RolledBack(start, why) => {
+        Notice::RolledBack(start, reason) => {
             digest.tag(7);
             digest.number(*start);
-            digest.tag(why_tag(*why));
+            digest.tag(reason_tag(*reason));
         }
-        Notice::Dropped(start, why) => {
+        Notice::Dropped(start, reason) => {
             digest.tag(8);
             digest.number(*start);
-            digest.tag(why_tag(*why));
+            digest.tag(reason_tag(*reason));
         }
-        Notice::Changed(wish, epoch) => {
+        Notice::Changed(change, epoch) => {
             digest.tag(9);
-            write_wish(digest, wish);
+            write_change(digest, change);
             digest.number(u64::from(*epoch));
         }
         Notice::CannotChange(error) => {
@@ -132,21 +132,21 @@
     }
 }
 
-fn write_write(digest: &mut Digest, write: &Transaction) {
-    digest.number(write.id);
-    digest.signed(write.fence);
-    for (key, revision) in &write.compares {
+fn write_transaction(digest: &mut Digest, transaction: &Transaction) {
+    digest.number(transaction.id);
+    digest.signed(transaction.fence);
+    for (key, revision) in &transaction.compares {
         digest.text(key);
         digest.signed(*revision);
     }
-    for (key, value) in &write.puts {
+    for (key, value) in &transaction.puts {
         digest.text(key);
         digest.bytes(value);
     }
 }
 
-fn write_heard(digest: &mut Digest, heard: &MapUpdate) {
-    match heard {
+fn write_map_update(digest: &mut Digest, update: &MapUpdate) {
+    match update {
         MapUpdate::Applied(epoch) => {
             digest.tag(1);
             digest.number(u64::from(*epoch));
@@ -167,33 +167,33 @@
     }
 }
 
-/// A zone with its planner, its documents in the registry, and one instance that follows.
+/// A zone with its planner, its documents in the registry, and one instance that follows the map.
 struct Zone {
     rng: Pcg32,
     planner: Planner,
     settings: Settings,
     calendar: Calendar,
-    /// The map and the plan of moves, with the revisions of their last changes.
+    /// The map and the plan of moves, each with the revision of its last change.
     documents: [Option<(Vec<u8>, i64)>; 2],
     revision: i64,
     follower: Follower,
-    boxes: Vec<EndpointCapacity>,
+    endpoints: Vec<EndpointCapacity>,
     site: SiteState,
     fence: Option<i64>,
     skew_ms: u64,
     now: Micros,
     unix_ms: u64,
-    wishes: Option<Vec<Change>>,
+    requested_changes: Option<Vec<Change>>,
     loads: Vec<MeasuredShard>,
     digest: Digest,
-    settled: usize,
+    completed: usize,
     rolled_back: usize,
     changed: usize,
 }
 
 impl Zone {
     fn new(seed: u64) -> Self {
-        let place = |number: usize| EndpointCapacity {
+        let endpoint = |number: usize| EndpointCapacity {
             id: format!("box{number}").into(),
             weight: 1.0 + number as f64 / 2.0,
             accepts_requests: true,
@@ -202,9 +202,9 @@
         };
         let window = |number: u64| {
             let from = START_MS + 100_000 + number * 600_000;
-            ("west".to_owned(), Window::Once(moment(from), moment(from + 420_000)))
+            ("west".to_owned(), Window::Once(timestamp(from), timestamp(from + 420_000)))
         };
-        let blackout = (None, moment(START_MS + 1_900_000), moment(START_MS + 2_000_000));
+        let blackout = (None, timestamp(START_MS + 1_900_000), timestamp(START_MS + 2_000_000));
         Zone {
             rng: Pcg32::seed_from_u64(seed),
             planner: Planner::new(1, "/s/"),
@@ -219,16 +219,16 @@
             documents: [None, None],
             revision: 10,
             follower: Follower::new(1),
-            boxes: (0..BOXES).map(place).collect(),
+            endpoints: (0..ENDPOINTS).map(endpoint).collect(),
             site: SiteState::Serving,
             fence: Some(5),
             skew_ms: 0,
             now: 0,
             unix_ms: START_MS,
-            wishes: None,
+            requested_changes: None,
             loads: Vec::new(),
             digest: Digest::new(),
-            settled: 0,
+            completed: 0,
             rolled_back: 0,
             changed: 0,
         }
@@ -245,7 +245,7 @@
         self.loads = shards.into_iter().map(|shard| shard.start).map(load).collect();
     }
 
-    fn wish(&mut self) {
+    fn request_changes(&mut self) {
         let Some(map) = self.follower.map() else { return };
         let starts: Vec<u64> = map.shards.iter().map(|shard| shard.start).collect();
         let at = self.rng.random_range(0..starts.len());
@@ -253,19 +253,19 @@
         let not_before_ms = self.unix_ms + self.rng.random_range(0..900_000);
         let split = Change::Split { start: starts[at], at: starts[at] + (1 << 58), not_before_ms };
         let merge = next.map(|next| Change::Merge { start: starts[at], next });
-        self.wishes = Some([Some(split), merge].into_iter().flatten().collect());
+        self.requested_changes = Some([Some(split), merge].into_iter().flatten().collect());
     }
 
-    /// Something out of the ordinary, or the end of it.
-    fn stir(&mut self) {
-        let number = self.rng.random_range(0..BOXES);
+    /// Injects a random fault, or ends one.
+    fn inject_fault(&mut self) {
+        let number = self.rng.random_range(0..ENDPOINTS);
         match self.rng.random_range(0..16) {
-            0 => self.boxes[number].accepts_requests = !self.boxes[number].accepts_requests,
-            1 => self.boxes[number].in_slow_start = !self.boxes[number].in_slow_start,
+            0 => self.endpoints[number].accepts_requests = !self.endpoints[number].accepts_requests,
+            1 => self.endpoints[number].in_slow_start = !self.endpoints[number].in_slow_start,
             2..5 => self
-                .boxes
+                .endpoints
                 .iter_mut()
-                .for_each(|place| (place.accepts_requests, place.in_slow_start) = (true, false)),
+                .for_each(|endpoint| (endpoint.accepts_requests, endpoint.in_slow_start) = (true, false)),
             5 => {
                 self.site =
                     [SiteState::Suspected, SiteState::Recovering { step: 1 }][self.rng.random_range(0..2)]
@@ -276,13 +276,13 @@
             11 => self.skew_ms = 0,
             12 => self.fence = self.fence.map_or(Some(self.revision), |_| None),
             13 => self.fence = Some(self.revision),
-            14 => self.spoil(),
-            _ => self.wish(),
+            14 => self.damage_document(),
+            _ => self.request_changes(),
         }
     }
 
-    /// A document is lost, torn or of another format; or another planner begins.
-    fn spoil(&mut self) {
+    /// Deletes or truncates a document, restarts the planner, or changes the limit on moves.
+    fn damage_document(&mut self) {
         let document = &mut self.documents[self.rng.random_range(0..2)];
         self.revision += 1;
         match (self.rng.random_range(0..4), document) {
@@ -306,20 +306,20 @@
 
     fn notices(&mut self, notices: &[Notice]) {
         for notice in notices {
-            self.settled += usize::from(matches!(notice, Notice::Completed(_)));
+            self.completed += usize::from(matches!(notice, Notice::Completed(_)));
             self.rolled_back += usize::from(matches!(notice, Notice::RolledBack(..)));
             self.changed += usize::from(matches!(notice, Notice::Changed(..)));
             write_notice(&mut self.digest, notice);
         }
     }
 
-    fn second(&mut self) {
+    fn tick(&mut self) {
         (self.now, self.unix_ms) = (self.now + 1_000_000, self.unix_ms + 1_000);
         if self.rng.random_ratio(1, 30) {
-            self.stir();
+            self.inject_fault();
         }
         if self.rng.random_ratio(1, 90) {
-            self.wish();
+            self.request_changes();
         }
         if self.rng.random_ratio(1, 60) || self.loads.is_empty() {
             self.measure();
@@ -328,12 +328,12 @@
             self.follow();
         }
         for _ in 0..2 {
-            let (write, notices) = self.step();
+            let (transaction, notices) = self.step();
             self.digest.number(self.now);
             self.notices(&notices);
-            if let Some(write) = write {
-                write_write(&mut self.digest, &write);
-                self.commit(write);
+            if let Some(transaction) = transaction {
+                write_transaction(&mut self.digest, &transaction);
+                self.commit(transaction);
             }
             self.digest.flag(self.planner.wants_documents());
             if self.planner.wants_documents() {
@@ -344,7 +344,7 @@
 
     fn step(&mut self) -> (Option<Transaction>, Vec<Notice>) {
         let epoch = (self.follower.epoch() > 0).then(|| self.follower.epoch());
-        let view = PlannerInput {
+        let input = PlannerInput {
             settings: &self.settings,
             calendar: &self.calendar,
             zone: "west",
@@ -357,35 +357,35 @@
             max_instances: 2,
             local_map: self.follower.map().map(|map| map.as_ref()),
             link_kb_s: 10_000.0,
-            endpoints: &self.boxes,
+            endpoints: &self.endpoints,
             loads: &self.loads,
-            requested_changes: self.wishes.as_deref(),
+            requested_changes: self.requested_changes.as_deref(),
         };
         let mut notices = Vec::new();
-        let write = self.planner.step(&view, &mut notices);
-        (write, notices)
+        let transaction = self.planner.step(&input, &mut notices);
+        (transaction, notices)
     }
 
-    fn commit(&mut self, write: Transaction) {
-        let lost = self.rng.random_ratio(1, 20);
-        if lost && self.rng.random_bool(0.5) {
-            return self.planner.answered(write.id, TransactionResult::Unknown);
+    fn commit(&mut self, transaction: Transaction) {
+        let reply_lost = self.rng.random_ratio(1, 20);
+        if reply_lost && self.rng.random_bool(0.5) {
+            return self.planner.answered(transaction.id, TransactionResult::Unknown);
         }
         if self.rng.random_ratio(1, 30) {
-            return self.planner.answered(write.id, TransactionResult::Rejected);
+            return self.planner.answered(transaction.id, TransactionResult::Rejected);
         }
         self.revision += 1;
-        for (key, value) in write.puts {
+        for (key, value) in transaction.puts {
             self.documents[usize::from(key == "/s/moves/1")] = Some((value, self.revision));
         }
         let answer =
-            if lost { TransactionResult::Unknown } else { TransactionResult::Committed(self.revision) };
-        self.planner.answered(write.id, answer);
+            if reply_lost { TransactionResult::Unknown } else { TransactionResult::Committed(self.revision) };
+        self.planner.answered(transaction.id, answer);
     }
 
     fn follow(&mut self) {
-        let heard = self.follower.apply(self.documents[0].as_ref().map(|document| &document.0[..]));
-        self.digest.option(heard, |digest, heard| write_heard(digest, &heard));
+        let update = self.follower.apply(self.documents[0].as_ref().map(|document| &document.0[..]));
+        self.digest.option(update, |digest, update| write_map_update(digest, &update));
         let homes = self.follower.assignments(|id| id.len() as f64, true);
         for home in homes.iter() {
             self.digest.number(home.start);
@@ -401,27 +401,28 @@
 
 fn planner(seed: u64) -> u64 {
     let mut zone = Zone::new(seed);
-    (0..SECONDS).for_each(|_| zone.second());
-    let seen = [zone.settled, zone.rolled_back, zone.changed];
-    assert!(seen[0] > 5 && seen[1] > 0 && seen[2] > 2, "too calm: {seen:?}");
+    (0..STEPS).for_each(|_| zone.tick());
+    let seen = [zone.completed, zone.rolled_back, zone.changed];
+    assert!(seen[0] > 5 && seen[1] > 0 && seen[2] > 2, "too few events: {seen:?}");
     zone.digest.finish()
 }
 
-/// The choice of moves by itself.
+/// Records the chosen moves for random loads and limits.
 fn moves(seed: u64) -> u64 {
-    let (mut rng, mut digest, mut picked) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
+    let (mut rng, mut digest, mut move_count) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
     for _ in 0..400 {
-        let boxes = rng.random_range(1..8);
-        let place = |rng: &mut Pcg32, number: usize| EndpointCapacity {
+        let endpoint_count = rng.random_range(1..8);
+        let endpoint = |rng: &mut Pcg32, number: usize| EndpointCapacity {
             id: format!("b{number}").into(),
             weight: [0.0, 1.0, 1.0, 2.5][rng.random_range(0..4)],
             accepts_requests: !rng.random_ratio(1, 8),
             in_slow_start: rng.random_ratio(1, 8),
             spare_kb_s: rng.random_range(0.0..1e4),
         };
-        let places: Vec<EndpointCapacity> = (0..boxes).map(|number| place(&mut rng, number)).collect();
+        let endpoints: Vec<EndpointCapacity> =
+            (0..endpoint_count).map(|number| endpoint(&mut rng, number)).collect();
         let load = |rng: &mut Pcg32| ShardLoad {
-            home: (!rng.random_ratio(1, 5)).then(|| rng.random_range(0..boxes)),
+            home: (!rng.random_ratio(1, 5)).then(|| rng.random_range(0..endpoint_count)),
             load: rng.random_range(0.0..5.0),
             kb: rng.random_range(0.0..1e4),
             rests: rng.random_ratio(1, 6),
@@ -432,40 +433,40 @@
             moves: rng.random_range(0..12),
             kb: rng.random_range(0.0..6e4),
         };
-        for pick in rebalance(&shards, &places, &limits) {
-            picked += 1;
-            digest.count(pick.shard);
-            digest.count(pick.to);
-            digest.float(pick.kb);
+        for chosen in rebalance(&shards, &endpoints, &limits) {
+            move_count += 1;
+            digest.count(chosen.shard);
+            digest.count(chosen.to);
+            digest.float(chosen.kb);
         }
         digest.tag(0);
     }
-    assert!(picked > 200, "too calm: {picked}");
+    assert!(move_count > 200, "too few moves: {move_count}");
     digest.finish()
 }
 
-/// Windows of a calendar over changes of clocks, days and blackouts.
-fn quiet_hours(seed: u64) -> u64 {
+/// Records the windows of random calendars, with clock changes, windows over midnight and blackouts.
+fn quiet_windows(seed: u64) -> u64 {
     let (mut rng, mut digest) = (Pcg32::seed_from_u64(seed), Digest::new());
-    let zones = ["Europe/Berlin", "America/New_York", "Asia/Kathmandu", "UTC"];
+    let time_zones = ["Europe/Berlin", "America/New_York", "Asia/Kathmandu", "UTC"];
     for _ in 0..60 {
         let from_ms = START_MS + rng.random_range(0..400 * 24 * HOUR_MS);
-        let week = |rng: &mut Pcg32| {
-            let zone = TimeZone::get(zones[rng.random_range(0..zones.len())]).unwrap();
+        let random_window = |rng: &mut Pcg32| {
+            let zone = TimeZone::get(time_zones[rng.random_range(0..time_zones.len())]).unwrap();
             let (days, from, to) =
                 (rng.random_range(0..128), rng.random_range(0..1440), rng.random_range(0..1440));
-            // A whole day, now and then.
+            // One window in eight lasts a whole day.
             let to = if rng.random_ratio(1, 8) { from } else { to };
             (["a", "b"][rng.random_range(0..2)].to_owned(), Window::Weekly { days, from, to, zone })
         };
-        let black = |rng: &mut Pcg32| {
+        let random_blackout = |rng: &mut Pcg32| {
             let from = from_ms + rng.random_range(0..300) * HOUR_MS;
             let to = from + rng.random_range(1..40) * HOUR_MS;
-            (rng.random_bool(0.5).then(|| "a".to_owned()), moment(from), moment(to))
+            (rng.random_bool(0.5).then(|| "a".to_owned()), timestamp(from), timestamp(to))
         };
         let calendar = Calendar {
-            quiet: (0..4).map(|_| week(&mut rng)).collect(),
-            blackouts: (0..3).map(|_| black(&mut rng)).collect(),
+            quiet: (0..4).map(|_| random_window(&mut rng)).collect(),
+            blackouts: (0..3).map(|_| random_blackout(&mut rng)).collect(),
         };
         for (from, to) in calendar.windows("a", from_ms, from_ms + 400 * HOUR_MS) {
             digest.number(from);
@@ -483,7 +484,7 @@
     digest.finish()
 }
 
-/// Work counted by instances, written, added up and shared out to shards; changes of a map by themselves.
+/// Records the work that instances count, its sum by shard, and random splits and merges of a map.
 fn work_and_maps(seed: u64) -> u64 {
     let (mut rng, mut digest) = (Pcg32::seed_from_u64(seed), Digest::new());
     let mut counts = vec![Work::default(), Work::default(), Work::default()];
@@ -498,9 +499,9 @@
         documents.iter().for_each(|document| digest.bytes(document));
         let merged = Work::merged(documents.iter().map(Vec::as_slice), now_ms);
         for _ in 0..60 {
-            let place = rng.random_range(0..map.shards.len());
-            let start = map.shards[place].start;
-            let next = map.shards.get(place + 1).map_or(u64::MAX, |shard| shard.start);
+            let index = rng.random_range(0..map.shards.len());
+            let start = map.shards[index].start;
+            let next = map.shards.get(index + 1).map_or(u64::MAX, |shard| shard.start);
             digest.float(merged.of(start, next - 1));
             let changed = match rng.random_bool(0.5) {
                 true => {
@@ -517,7 +518,7 @@
 }
 
 #[test]
-fn the_planner_and_the_follower_decide_as_before() {
+fn planner_and_follower_decisions_match_the_recorded_digests() {
     expect(
         "the planner of shards",
         planner,
@@ -526,16 +527,16 @@
 }
 
 #[test]
-fn the_choice_of_moves_is_as_before() {
+fn the_choice_of_moves_matches_the_recorded_digest() {
     expect("the choice of moves", moves, &[0x62b8b0c048b0b6c8]);
 }
 
 #[test]
-fn quiet_hours_are_as_before() {
-    expect("the quiet hours", quiet_hours, &[0xc936d5273f4ef370]);
+fn quiet_windows_match_the_recorded_digest() {
+    expect("the quiet hours", quiet_windows, &[0xc936d5273f4ef370]);
 }
 
 #[test]
-fn work_and_maps_are_as_before() {
+fn work_and_maps_match_the_recorded_digest() {
     expect("work and maps", work_and_maps, &[0x4448f92817dccc05]);
 }
