--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -6,7 +6,7 @@
 use super::Effort;
 use crate::capacity::target::{Sum, INSTANCES, REQUESTS_EACH, SHARDS, SITES, TRAFFIC};
 use crate::capacity::{Per, Quantity, Role, Row};
-use larchdale::growth::ahead::Ahead;
+use larchdale::growth::ahead::GrowthPlanner;
 use larchdale::growth::buckets::Growth;
 use larchdale::growth::Settings;
 use larchdale::placement::load::Work;
@@ -41,8 +41,8 @@
 }
 
 /// What a planner knows of one zone after so many buckets of ten thousand objects each.
-fn ahead(buckets: u64, wanted: u64) -> Ahead {
-    let mut ahead = Ahead::new(Settings::default(), "z");
+fn ahead(buckets: u64, wanted: u64) -> GrowthPlanner {
+    let mut ahead = GrowthPlanner::new(Settings::default(), "z");
     let mut growth = Growth::new(Settings::default(), "z", "doorman", NOW_MS);
     growth.close(NOW_MS);
     for hour in 1..=buckets {
@@ -74,7 +74,7 @@
     });
     let taken = effort.points(wanted, |n| {
         let document = bucket(n, 1).current().map(|d| d.1).unwrap_or_default();
-        let (mut ahead, mut watch) = (Ahead::new(Settings::default(), "z"), Stopwatch::new());
+        let (mut ahead, mut watch) = (GrowthPlanner::new(Settings::default(), "z"), Stopwatch::new());
         let _ = watch.time(|| ahead.document(&document, NOW_MS));
         watch.us()
     });
@@ -147,7 +147,7 @@
     let counter = effort.points(wanted, |n| heap(|| bucket(n, 1)));
     let zones = effort.sizes(&[2, 5, 10, 20], &[1, 2, 3, 4]);
     let empty = effort.points(zones, |n| {
-        heap(|| (0..n).map(|z| Ahead::new(Settings::default(), &z.to_string())).collect::<Vec<_>>())
+        heap(|| (0..n).map(|z| GrowthPlanner::new(Settings::default(), &z.to_string())).collect::<Vec<_>>())
     });
     let buckets = effort.sizes(&[10, 50, 100, 300], &[2, 4, 6, 8]);
     let kept = effort.points(buckets, |n| heap(|| ahead(n as u64, 10_000)));
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -56,7 +56,7 @@
 
 /// The growth of one zone as known to the planner, with its forecast and split schedule.
 #[derive(Clone, Debug)]
-pub struct Ahead {
+pub struct GrowthPlanner {
     settings: Settings,
     zone: String,
     merged: Merged,
@@ -75,10 +75,10 @@
     weeks: Vec<f64>,
 }
 
-impl Ahead {
+impl GrowthPlanner {
     /// Returns a planner for one zone, without any history.
     pub fn new(settings: Settings, zone: &str) -> Self {
-        Ahead {
+        GrowthPlanner {
             merged: Merged::new(&settings),
             scheduler: Scheduler::new(settings.clone()),
             settings,
@@ -252,7 +252,7 @@
     pub fn old<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Old> {
         let base = self.merged.base()?;
         let (key, oldest) = (base.key(&self.zone), self.merged.oldest());
-        let below = Ahead::below(&self.zone);
+        let below = GrowthPlanner::below(&self.zone);
         let bucket = |k: &str| k.strip_prefix(&below)?.split('/').next()?.parse::<u64>().ok();
         let old = keys.filter(|k| *k != key && bucket(k).is_some_and(|b| b <= oldest));
         let old: Vec<String> = old.take(MAX_REMOVED).map(str::to_owned).collect();
--- a/src/growth/ahead/tests.rs
+++ b/src/growth/ahead/tests.rs
@@ -10,7 +10,7 @@
 fn old_buckets_are_merged_into_a_base_document_that_a_new_planner_can_use() {
     let settings = Settings { bucket: 1_000_000, buckets: 8, ..Settings::default() };
     let (mut planner, mut stored) =
-        (Ahead::new(settings.clone(), "edge"), BTreeMap::<String, Vec<u8>>::new());
+        (GrowthPlanner::new(settings.clone(), "edge"), BTreeMap::<String, Vec<u8>>::new());
     let mut growth = Growth::new(settings.clone(), "edge", "n1", 1);
     for second in 0..40u64 {
         let now_ms = 1_000_000 + second * 1_000;
@@ -27,9 +27,9 @@
         }
         assert!(stored.len() <= 9, "{:?}", stored.keys());
     }
-    let mut next_planner = Ahead::new(settings.clone(), "edge");
+    let mut next_planner = GrowthPlanner::new(settings.clone(), "edge");
     stored.values().for_each(|value| next_planner.document(value, 2_000_000).unwrap());
-    let level = |source: &Ahead| {
+    let level = |source: &GrowthPlanner| {
         let cells: Vec<Cell> = (0..CELLS).filter_map(|n| source.merged.cell(n)).collect();
         source.merged.series(&cells, 0, u64::MAX).last().map(|p| p.objects)
     };
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -7,7 +7,7 @@
 use crate::config::product::Product;
 use crate::config::settings::Document;
 use crate::failover::{SiteState, Zone};
-use crate::growth::ahead::{Ahead, Old};
+use crate::growth::ahead::{GrowthPlanner, Old};
 use crate::growth::buckets::Growth;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
@@ -54,7 +54,7 @@
 /// What the planner knows of one zone.
 struct ZonePlanner {
     planner: Planner,
-    forecast: Option<Ahead>,
+    forecast: Option<GrowthPlanner>,
     last_forecast: Option<Micros>,
 }
 
@@ -141,7 +141,7 @@
     let instances = &settings.domain.crew_by_zone;
     let is_served = |zone: Zone| zone == settings.zone || instances.get(zone).is_some_and(|count| *count > 0);
     let planner = |(zone, name): (Zone, &String)| {
-        let forecast = product.growth.clone().map(|growth| Ahead::new(growth, name));
+        let forecast = product.growth.clone().map(|growth| GrowthPlanner::new(growth, name));
         (zone, ZonePlanner { planner: Planner::new(zone as u16, ""), forecast, last_forecast: None })
     };
     let zones = settings.failure_domains.iter().enumerate();
@@ -387,7 +387,7 @@
         let names = &context.settings.failure_domains;
         for (zone, planner) in &mut self.planners {
             let (Some(forecast), Some(name)) = (&mut planner.forecast, names.get(*zone)) else { continue };
-            let prefix = Ahead::below(name);
+            let prefix = GrowthPlanner::below(name);
             let listed: Vec<String> = if changes.all {
                 self.driver.below(&prefix).map(|(key, _)| key.to_owned()).collect()
             } else {
@@ -515,7 +515,7 @@
             return ForecastWrites::default();
         };
         let name = context.zone_name(zone);
-        let schedule_key = Ahead::schedule_key(name);
+        let schedule_key = GrowthPlanner::schedule_key(name);
         let last = zone_planner.last_forecast;
         if forecast.done() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
             zone_planner.last_forecast = Some(context.now);
@@ -531,7 +531,7 @@
         }
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
-            compaction: forecast.old(self.driver.below(&Ahead::below(name)).map(|(key, _)| key)),
+            compaction: forecast.old(self.driver.below(&GrowthPlanner::below(name)).map(|(key, _)| key)),
         }
     }
 
@@ -544,7 +544,7 @@
     ) -> Option<PlannerTransaction> {
         let ZonePlanning { context, zone, .. } = *planning;
         let forecast = zone_planner.forecast.as_ref();
-        let wishes = forecast.and_then(Ahead::requested_changes);
+        let wishes = forecast.and_then(GrowthPlanner::requested_changes);
         let view = PlannerInput {
             settings: &self.settings,
             calendar: &self.calendar,
@@ -559,7 +559,7 @@
             local_map: self.follower.map().filter(|_| zone == self.zone).map(Arc::as_ref),
             link_kb_s: planning.link_kb_s,
             endpoints: planning.caches,
-            loads: forecast.map_or(&[], Ahead::loads),
+            loads: forecast.map_or(&[], GrowthPlanner::loads),
             requested_changes: wishes.as_deref(),
         };
         zone_planner.planner.step(&view, notices)
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::{expect, Digest};
 use crate::placement::write_change;
-use larchdale::growth::ahead::Ahead;
+use larchdale::growth::ahead::GrowthPlanner;
 use larchdale::growth::buckets::{Document, Growth, Point};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{first_week_over_capacity, Notice, Scheduler, Shard, Window};
@@ -56,7 +56,7 @@
 struct Zone {
     rng: Pcg32,
     instances: Vec<Growth>,
-    ahead: Ahead,
+    ahead: GrowthPlanner,
     map: ShardMap,
     schedule: Option<Vec<u8>>,
     keys: Vec<String>,
@@ -78,7 +78,7 @@
         Zone {
             rng: Pcg32::seed_from_u64(seed),
             instances: (0..3).map(instance).collect(),
-            ahead: Ahead::new(settings, "west"),
+            ahead: GrowthPlanner::new(settings, "west"),
             map,
             schedule: None,
             keys: Vec::new(),
