--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -31,7 +31,7 @@
 
 /// Replacement of old documents by one base document.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Old {
+pub struct Compaction {
     /// Key and value of the base document, which includes the removed ones; written in the transaction that removes them.
     pub base: (String, Vec<u8>),
     /// Keys of the documents to remove.
@@ -249,14 +249,14 @@
 
     /// Returns a replacement of documents whose buckets are no longer part of the history, at most [`MAX_REMOVED`] of
     /// them; `None` if there are none.
-    pub fn old<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Old> {
+    pub fn old<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Compaction> {
         let base = self.merged.base()?;
         let (key, oldest) = (base.key(&self.zone), self.merged.oldest());
         let below = GrowthPlanner::below(&self.zone);
         let bucket = |k: &str| k.strip_prefix(&below)?.split('/').next()?.parse::<u64>().ok();
         let old = keys.filter(|k| *k != key && bucket(k).is_some_and(|b| b <= oldest));
         let old: Vec<String> = old.take(MAX_REMOVED).map(str::to_owned).collect();
-        (!old.is_empty()).then(|| Old { base: (key, base.encode()), keys: old })
+        (!old.is_empty()).then(|| Compaction { base: (key, base.encode()), keys: old })
     }
 
     /// Takes the schedule to write, after each forecast that has changed it.
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -7,7 +7,7 @@
 use crate::config::product::Product;
 use crate::config::settings::Document;
 use crate::failover::{SiteState, Zone};
-use crate::growth::ahead::{GrowthPlanner, Old};
+use crate::growth::ahead::{Compaction, GrowthPlanner};
 use crate::growth::buckets::Growth;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
@@ -64,7 +64,7 @@
     /// The key and the value of the schedule of splits.
     schedule: Option<(String, Vec<u8>)>,
     /// Buckets whose history one base document takes over.
-    compaction: Option<Old>,
+    compaction: Option<Compaction>,
 }
 
 /// A request that a cache served, as the counts of growth and work take it.
@@ -593,7 +593,7 @@
         if let Some(schedule) = writes.schedule {
             self.submit(context, PendingTransaction::Superseded, fenced(put(schedule), fence));
         }
-        if let Some(Old { base, keys }) = writes.compaction {
+        if let Some(Compaction { base, keys }) = writes.compaction {
             debug!(context.log, "growth buckets compacted"; "zone" => zone, "keys" => keys.len());
             let transaction = Transaction { deletes: keys, ..put(base) };
             self.submit(context, PendingTransaction::Superseded, fenced(transaction, fence));
