--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -249,7 +249,7 @@
 
     /// Returns a replacement of documents whose buckets are no longer part of the history, at most [`MAX_REMOVED`] of
     /// them; `None` if there are none.
-    pub fn old<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Compaction> {
+    pub fn compaction<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Compaction> {
         let base = self.merged.base()?;
         let (key, oldest) = (base.key(&self.zone), self.merged.oldest());
         let below = GrowthPlanner::below(&self.zone);
--- a/src/growth/ahead/tests.rs
+++ b/src/growth/ahead/tests.rs
@@ -21,7 +21,7 @@
             growth.written(&key);
             stored.insert(key, value);
         }
-        if let Some(old) = planner.old(stored.keys().map(String::as_str)) {
+        if let Some(old) = planner.compaction(stored.keys().map(String::as_str)) {
             old.keys.iter().for_each(|k| drop(stored.remove(k)));
             stored.insert(old.base.0, old.base.1);
         }
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -531,7 +531,8 @@
         }
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
-            compaction: forecast.old(self.driver.below(&GrowthPlanner::below(name)).map(|(key, _)| key)),
+            compaction: forecast
+                .compaction(self.driver.below(&GrowthPlanner::below(name)).map(|(key, _)| key)),
         }
     }
 
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -159,7 +159,7 @@
             digest.bytes(&schedule);
             self.schedule = Some(schedule);
         }
-        digest.option(self.ahead.old(self.keys.iter().map(String::as_str)), |digest, old| {
+        digest.option(self.ahead.compaction(self.keys.iter().map(String::as_str)), |digest, old| {
             digest.text(&old.base.0);
             digest.bytes(&old.base.1);
             old.keys.iter().for_each(|key| digest.text(key));
