--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -7,7 +7,7 @@
 use crate::capacity::target::{Sum, INSTANCES, REQUESTS_EACH, SHARDS, SITES, TRAFFIC};
 use crate::capacity::{Per, Quantity, Role, Row};
 use larchdale::growth::ahead::GrowthPlanner;
-use larchdale::growth::buckets::Growth;
+use larchdale::growth::buckets::GrowthCounter;
 use larchdale::growth::Settings;
 use larchdale::placement::load::Work;
 use larchdale::placement::rebalance::EndpointCapacity;
@@ -31,8 +31,8 @@
 }
 
 /// An instance's open bucket.
-fn bucket(wanted: usize, member: usize) -> Growth {
-    let mut growth = Growth::new(Settings::default(), "z", &format!("doorman-{member}"), NOW_MS);
+fn bucket(wanted: usize, member: usize) -> GrowthCounter {
+    let mut growth = GrowthCounter::new(Settings::default(), "z", &format!("doorman-{member}"), NOW_MS);
     growth.close(NOW_MS);
     for n in 0..wanted as u64 {
         growth.wanted(scatter(n + ((member as u64) << 40)), 0, 180.0, true, false);
@@ -43,7 +43,7 @@
 /// What a planner knows of one zone after so many buckets of ten thousand objects each.
 fn ahead(buckets: u64, wanted: u64) -> GrowthPlanner {
     let mut ahead = GrowthPlanner::new(Settings::default(), "z");
-    let mut growth = Growth::new(Settings::default(), "z", "doorman", NOW_MS);
+    let mut growth = GrowthCounter::new(Settings::default(), "z", "doorman", NOW_MS);
     growth.close(NOW_MS);
     for hour in 1..=buckets {
         (0..wanted).for_each(|n| growth.wanted(scatter(hour << 32 | n), 0, 180.0, true, false));
--- a/src/growth/ahead/tests.rs
+++ b/src/growth/ahead/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the replacement of old growth documents in the registry.
 
-use super::super::buckets::Growth;
+use super::super::buckets::GrowthCounter;
 use super::*;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     let settings = Settings { bucket: 1_000_000, buckets: 8, ..Settings::default() };
     let (mut planner, mut stored) =
         (GrowthPlanner::new(settings.clone(), "edge"), BTreeMap::<String, Vec<u8>>::new());
-    let mut growth = Growth::new(settings.clone(), "edge", "n1", 1);
+    let mut growth = GrowthCounter::new(settings.clone(), "edge", "n1", 1);
     for second in 0..40u64 {
         let now_ms = 1_000_000 + second * 1_000;
         growth.close(now_ms);
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -152,24 +152,24 @@
 
 /// One instance's count of newly requested objects.
 #[derive(Clone, Debug)]
-pub struct Growth {
+pub struct GrowthCounter {
     settings: Settings,
     zone: String,
     member: String,
     incarnation: u64,
-    /// The open bucket; `None` before the first call of [`Growth::close`].
+    /// The open bucket; `None` before the first call of [`GrowthCounter::close`].
     bucket: Option<u64>,
     registers: Vec<u32>,
     waiting: VecDeque<Document>,
 }
 
-impl Growth {
+impl GrowthCounter {
     /// Returns the counter of an instance of a zone, with its name (truncated to 16 characters, at most 64 bytes) and
     /// incarnation.
     pub fn new(settings: Settings, zone: &str, member: &str, incarnation: u64) -> Self {
         let (zone, member) = (zone.to_owned(), member.chars().take(MAX_NAME_BYTES / 4).collect());
         let (registers, waiting) = (vec![0; TOTAL_REGISTERS], VecDeque::new());
-        Growth { settings, zone, member, incarnation, bucket: None, registers, waiting }
+        GrowthCounter { settings, zone, member, incarnation, bucket: None, registers, waiting }
     }
 
     /// Counts a request that filled an object because no cache had it (`new_fill`), or that wrote the object. Other
--- a/src/growth/mod.rs
+++ b/src/growth/mod.rs
@@ -1,6 +1,6 @@
 //! Growth of shards: counts of newly requested objects, forecasts of shard sizes, and splits scheduled ahead of time.
 //!
-//! Every instance counts newly requested objects ([`buckets::Growth`]) and writes the counts to the registry; the planner
+//! Every instance counts newly requested objects ([`buckets::GrowthCounter`]) and writes the counts to the registry; the planner
 //! merges the documents, forecasts each shard and schedules splits ([`ahead::GrowthPlanner`]). None of these modules reads a
 //! clock or does I/O; `proxy::rebalancing` owns them.
 
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -1,4 +1,4 @@
-use super::buckets::{bucket_of, Document, Growth, Merged, Point, CELLS};
+use super::buckets::{bucket_of, Document, GrowthCounter, Merged, Point, CELLS};
 use super::forecast::Forecast;
 use super::splits::{factors, first_week_over_capacity, Notice, Scheduler, Shard};
 use super::*;
@@ -17,7 +17,8 @@
     let mut all = Vec::new();
     for member in 0..3u8 {
         let name = format!("d{member}");
-        let mut growth = Growth::new(Settings { waiting: 1_000, ..Settings::default() }, "z", &name, 1);
+        let mut growth =
+            GrowthCounter::new(Settings { waiting: 1_000, ..Settings::default() }, "z", &name, 1);
         for hour in 0..6u8 {
             growth.close(NOW + u64::from(hour) * HOUR_MS);
             for w in requests.iter().filter(|w| w.0 % 3 == member && w.1 % 6 == hour) {
@@ -92,7 +93,7 @@
     for object_count in [100u64, 20_000, 2_000_000] {
         let mut merged = Merged::new(&Settings::default());
         for member in 0..2u64 {
-            let mut growth = Growth::new(Settings::default(), "z", &member.to_string(), 1);
+            let mut growth = GrowthCounter::new(Settings::default(), "z", &member.to_string(), 1);
             growth.close(NOW);
             // Each instance requests every object twice, and the two share half of their objects.
             for object in (0..object_count * 2 / 3).chain(0..object_count * 2 / 3) {
@@ -121,7 +122,7 @@
 
 #[test]
 fn waiting_buckets_are_bounded_and_expired_buckets_stay_in_the_base_document() {
-    let mut growth = Growth::new(Settings { waiting: 4, ..Settings::default() }, "z", "d", 7);
+    let mut growth = GrowthCounter::new(Settings { waiting: 4, ..Settings::default() }, "z", "d", 7);
     growth.close(NOW);
     for hour in 1..=30 {
         (0..100).for_each(|n| growth.wanted(hour * 100 + n, 0, 1.0, true, false));
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -8,7 +8,7 @@
 use crate::config::settings::Document;
 use crate::failover::{SiteState, Zone};
 use crate::growth::ahead::{Compaction, GrowthPlanner};
-use crate::growth::buckets::Growth;
+use crate::growth::buckets::GrowthCounter;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
 use crate::placement::load::Work;
@@ -88,7 +88,7 @@
     saver: Option<Saver>,
     assignments: Arc<[ShardAssignment]>,
     planners: BTreeMap<Zone, ZonePlanner>,
-    growth: Option<Growth>,
+    growth: Option<GrowthCounter>,
     work: Work,
     /// By the number of the transaction.
     pending: FxHashMap<u64, PendingTransaction>,
@@ -172,7 +172,8 @@
             saver: started_saver(folder, zone as u16, log),
             assignments: Arc::default(),
             planners: zone_planners(document, product),
-            growth: growth.map(|growth| Growth::new(growth, context.zone_name(zone), name, context.unix_ms)),
+            growth: growth
+                .map(|growth| GrowthCounter::new(growth, context.zone_name(zone), name, context.unix_ms)),
             work: Work::default(),
             pending: FxHashMap::default(),
             last_transaction: 0,
@@ -255,7 +256,7 @@
 
     /// Names and values for the admin server.
     pub fn metrics(&self) -> [(&'static str, u64); 6] {
-        let waiting = self.growth.as_ref().map_or(0, Growth::pending);
+        let waiting = self.growth.as_ref().map_or(0, GrowthCounter::pending);
         [
             ("shard_epoch", u64::from(self.follower.epoch())),
             ("shards", self.assignments.len() as u64),
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -3,7 +3,7 @@
 use crate::digest::{expect, Digest};
 use crate::placement::write_change;
 use larchdale::growth::ahead::GrowthPlanner;
-use larchdale::growth::buckets::{Document, Growth, Point};
+use larchdale::growth::buckets::{Document, GrowthCounter, Point};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{first_week_over_capacity, Notice, Scheduler, Shard, Window};
 use larchdale::growth::{GrowthError, Settings};
@@ -55,7 +55,7 @@
 /// A zone with instances that count requests, and a planner that forecasts growth.
 struct Zone {
     rng: Pcg32,
-    instances: Vec<Growth>,
+    instances: Vec<GrowthCounter>,
     ahead: GrowthPlanner,
     map: ShardMap,
     schedule: Option<Vec<u8>>,
@@ -70,7 +70,8 @@
         // Some shards grow fast, so that splits are requested; most are small, so that merges are requested.
         let settings =
             Settings { buckets: 90, box_kb: 200_000.0, merge: 0.2, waiting: 5, ..Settings::default() };
-        let instance = |number: u64| Growth::new(settings.clone(), "west", &format!("d{number}"), number + 1);
+        let instance =
+            |number: u64| GrowthCounter::new(settings.clone(), "west", &format!("d{number}"), number + 1);
         let mut map = ShardMap::first(0, 1, 6);
         for (number, shard) in map.shards.iter_mut().enumerate() {
             shard.home = [Some("a".into()), Some("b".into()), None][number / 2].clone();
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -208,7 +208,7 @@
 fn a_bucket_of_growth_in_the_registry() {
     let settings = growth::Settings::default();
     let bucket_ms = settings.bucket / 1_000;
-    let mut count = growth::buckets::Growth::new(settings, "branch", "door-1", 1_700_000_000_123);
+    let mut count = growth::buckets::GrowthCounter::new(settings, "branch", "door-1", 1_700_000_000_123);
     assert!(!count.close(NOW_UNIX_MS));
     count.wanted(0x7f3a_9c21_e0b4_d655, 0, 412.5, true, false);
     count.wanted(0x7f3a_9c21_e0b4_d655, 3, 48.0, false, true);
