--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -35,7 +35,7 @@
     let mut growth = GrowthCounter::new(Settings::default(), "z", &format!("doorman-{member}"), NOW_MS);
     growth.close(NOW_MS);
     for n in 0..wanted as u64 {
-        growth.wanted(scatter(n + ((member as u64) << 40)), 0, 180.0, true, false);
+        growth.record(scatter(n + ((member as u64) << 40)), 0, 180.0, true, false);
     }
     growth
 }
@@ -46,7 +46,7 @@
     let mut growth = GrowthCounter::new(Settings::default(), "z", "doorman", NOW_MS);
     growth.close(NOW_MS);
     for hour in 1..=buckets {
-        (0..wanted).for_each(|n| growth.wanted(scatter(hour << 32 | n), 0, 180.0, true, false));
+        (0..wanted).for_each(|n| growth.record(scatter(hour << 32 | n), 0, 180.0, true, false));
         growth.close(NOW_MS + hour * HOUR_MS);
         while let Some((key, value)) = growth.next() {
             let _ = ahead.document(&value, NOW_MS + hour * HOUR_MS);
@@ -64,7 +64,7 @@
     let count = effort.points(wanted, |n| {
         let mut growth = bucket(0, 1);
         let mut watch = Stopwatch::new();
-        watch.time(|| (0..n as u64).for_each(|k| growth.wanted(scatter(k), 0, 180.0, true, false)));
+        watch.time(|| (0..n as u64).for_each(|k| growth.record(scatter(k), 0, 180.0, true, false)));
         watch.us() / n as f64
     });
     let written = effort.points(wanted, |n| {
--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -241,7 +241,7 @@
     for hour in 0..200u64 {
         growth.close(hour * HOUR_MS);
         let began = Instant::now();
-        (0..20_000).for_each(|n| growth.wanted(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
+        (0..20_000).for_each(|n| growth.record(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
         wanting += began.elapsed();
         growth.close((hour + 1) * HOUR_MS);
         while let Some((key, bytes)) = growth.next() {
--- a/src/growth/ahead/tests.rs
+++ b/src/growth/ahead/tests.rs
@@ -15,7 +15,7 @@
     for second in 0..40u64 {
         let now_ms = 1_000_000 + second * 1_000;
         growth.close(now_ms);
-        (0..50).for_each(|n| growth.wanted(second * 50 + n, 0, 10.0, true, false));
+        (0..50).for_each(|n| growth.record(second * 50 + n, 0, 10.0, true, false));
         while let Some((key, value)) = growth.next() {
             planner.document(&value, now_ms).unwrap();
             growth.written(&key);
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -175,7 +175,7 @@
     /// Counts a request that filled an object because no cache had it (`new_fill`), or that wrote the object. Other
     /// requests are not growth. Each `part` of an object is cached, and so counted, separately. Computes a hash, compares
     /// one register and allocates nothing.
-    pub fn wanted(&mut self, object: u64, part: u64, kb: f64, new_fill: bool, write: bool) {
+    pub fn record(&mut self, object: u64, part: u64, kb: f64, new_fill: bool, write: bool) {
         if !(new_fill || write) {
             return;
         }
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -22,7 +22,7 @@
         for hour in 0..6u8 {
             growth.close(NOW + u64::from(hour) * HOUR_MS);
             for w in requests.iter().filter(|w| w.0 % 3 == member && w.1 % 6 == hour) {
-                growth.wanted(u64::from(w.2 % 300), u64::from(w.2 % 3), f64::from(w.2), true, w.3);
+                growth.record(u64::from(w.2 % 300), u64::from(w.2 % 3), f64::from(w.2), true, w.3);
             }
         }
         growth.close(NOW + 6 * HOUR_MS);
@@ -98,8 +98,8 @@
             // Each instance requests every object twice, and the two share half of their objects.
             for object in (0..object_count * 2 / 3).chain(0..object_count * 2 / 3) {
                 let object = object + member * (object_count / 3);
-                growth.wanted(object / 2, object % 2, 10.0 + (object % 100) as f64, true, object % 4 == 0);
-                growth.wanted(object + object_count * 2, 0, 1e9, false, false);
+                growth.record(object / 2, object % 2, 10.0 + (object % 100) as f64, true, object % 4 == 0);
+                growth.record(object + object_count * 2, 0, 1e9, false, false);
             }
             growth.close(NOW + HOUR_MS);
             merged.take(&Document::decode(&growth.next().unwrap().1).unwrap(), NOW + HOUR_MS).unwrap();
@@ -125,8 +125,8 @@
     let mut growth = GrowthCounter::new(Settings { waiting: 4, ..Settings::default() }, "z", "d", 7);
     growth.close(NOW);
     for hour in 1..=30 {
-        (0..100).for_each(|n| growth.wanted(hour * 100 + n, 0, 1.0, true, false));
-        growth.wanted(1, 0, 1.0, true, false);
+        (0..100).for_each(|n| growth.record(hour * 100 + n, 0, 1.0, true, false));
+        growth.record(1, 0, 1.0, true, false);
         assert!(!growth.close(NOW - 5 * HOUR_MS), "a clock that was set back closes nothing");
         assert!(growth.close(NOW + hour * HOUR_MS));
         assert!(growth.pending() <= 4);
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -425,7 +425,7 @@
     pub fn count_served(&mut self, request: &ServedRequest) {
         self.work.add(request.object, request.work_us);
         if let Some(growth) = &mut self.growth {
-            growth.wanted(request.object, request.part, request.kb, request.newly_filled, request.is_write);
+            growth.record(request.object, request.part, request.kb, request.newly_filled, request.is_write);
         }
     }
 
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -97,7 +97,7 @@
                 let object = self.rng.random_range(0..(hour + 1) * 40);
                 let kb = f64::from(self.rng.random_range(0..60u32));
                 let (fill, write) = (!self.rng.random_ratio(1, 4), self.rng.random_ratio(1, 3));
-                instance.wanted(object, self.rng.random_range(0..2), kb, fill, write);
+                instance.record(object, self.rng.random_range(0..2), kb, fill, write);
                 self.work.add(object, kb * 10.0);
             }
             self.digest.flag(instance.close(now_ms));
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -210,9 +210,9 @@
     let bucket_ms = settings.bucket / 1_000;
     let mut count = growth::buckets::GrowthCounter::new(settings, "branch", "door-1", 1_700_000_000_123);
     assert!(!count.close(NOW_UNIX_MS));
-    count.wanted(0x7f3a_9c21_e0b4_d655, 0, 412.5, true, false);
-    count.wanted(0x7f3a_9c21_e0b4_d655, 3, 48.0, false, true);
-    count.wanted(0x91f0_3b7c_55d2_0a64, 1, 7.25, true, true);
+    count.record(0x7f3a_9c21_e0b4_d655, 0, 412.5, true, false);
+    count.record(0x7f3a_9c21_e0b4_d655, 3, 48.0, false, true);
+    count.record(0x91f0_3b7c_55d2_0a64, 1, 7.25, true, true);
     assert!(count.close(NOW_UNIX_MS + bucket_ms));
     let (key, value) = count.next().unwrap();
     assert_eq!(key, "growth/branch/498967/door-1-1700000000123");
