--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -6,7 +6,7 @@
 //! is. A split is too late if the shard is full before the window of the move has ended. Baseline: split in the next
 //! window when full. What nothing foresees is told beside: shards that a flood fills which began under two days before.
 
-use larchdale::growth::buckets::{Document, GrowthCounter, Merged, Point, CELLS, ERROR};
+use larchdale::growth::buckets::{Document, GrowthCounter, GrowthHistory, Point, CELLS, ERROR};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{Scheduler, Shard};
 use larchdale::growth::Settings;
@@ -236,7 +236,7 @@
     }
     // What an instance pays for a request, and the planner for a zone's history.
     let mut growth = GrowthCounter::new(settings.clone(), "z", "d", 1);
-    let mut merged = Merged::new(&settings);
+    let mut merged = GrowthHistory::new(&settings);
     let (mut wanting, mut cells) = (Duration::ZERO, Duration::ZERO);
     for hour in 0..200u64 {
         growth.close(hour * HOUR_MS);
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::buckets::{Cell, Document, Merged, CELLS};
+use super::buckets::{Cell, Document, GrowthHistory, CELLS};
 use super::forecast::Forecast;
 use super::splits::{factors, Notice, Scheduler, Shard, Window};
 use super::{GrowthError, Settings};
@@ -59,7 +59,7 @@
 pub struct GrowthPlanner {
     settings: Settings,
     zone: String,
-    merged: Merged,
+    merged: GrowthHistory,
     scheduler: Scheduler,
     /// Whether the stored schedule has been read.
     schedule_read: bool,
@@ -79,7 +79,7 @@
     /// Returns a planner for one zone, without any history.
     pub fn new(settings: Settings, zone: &str) -> Self {
         GrowthPlanner {
-            merged: Merged::new(&settings),
+            merged: GrowthHistory::new(&settings),
             scheduler: Scheduler::new(settings.clone()),
             settings,
             zone: zone.to_owned(),
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -269,7 +269,7 @@
 
 /// The union of all documents of one zone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Merged {
+pub struct GrowthHistory {
     bucket: Micros,
     buckets: u64,
     newest: u64,
@@ -278,11 +278,11 @@
     increases: Vec<Vec<(u64, u32)>>,
 }
 
-impl Merged {
+impl GrowthHistory {
     /// Returns an empty history.
     pub fn new(settings: &Settings) -> Self {
         let (bucket, buckets) = (settings.bucket, settings.buckets.max(1) as u64);
-        Merged {
+        GrowthHistory {
             bucket,
             buckets,
             newest: 0,
@@ -379,7 +379,7 @@
     }
 
     /// Returns the history of the objects from `start` through `last`, one point per bucket, oldest first; empty without
-    /// any document. `cells` are the results of [`Merged::cell`] for all cells, after the last merged document.
+    /// any document. `cells` are the results of [`GrowthHistory::cell`] for all cells, after the last merged document.
     pub fn series(&self, cells: &[Cell], start: u64, last: u64) -> Vec<Point> {
         let Some(&first) = self.known.first() else { return Vec::new() };
         let bucket_count = self.newest.saturating_sub(first).min(self.buckets - 1) as usize + 1;
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -1,4 +1,4 @@
-use super::buckets::{bucket_of, Document, GrowthCounter, Merged, Point, CELLS};
+use super::buckets::{bucket_of, Document, GrowthCounter, GrowthHistory, Point, CELLS};
 use super::forecast::Forecast;
 use super::splits::{factors, first_week_over_capacity, Notice, Scheduler, Shard};
 use super::*;
@@ -34,8 +34,8 @@
     all
 }
 
-fn merged(buckets: usize, documents: &[Document]) -> Merged {
-    let mut merged = Merged::new(&Settings { buckets, ..Settings::default() });
+fn merged(buckets: usize, documents: &[Document]) -> GrowthHistory {
+    let mut merged = GrowthHistory::new(&Settings { buckets, ..Settings::default() });
     documents.iter().for_each(|d| merged.take(d, NOW + 7 * HOUR_MS).unwrap());
     merged
 }
@@ -91,7 +91,7 @@
 #[test]
 fn counts_are_close_to_the_true_number_for_few_and_many_objects_across_instances() {
     for object_count in [100u64, 20_000, 2_000_000] {
-        let mut merged = Merged::new(&Settings::default());
+        let mut merged = GrowthHistory::new(&Settings::default());
         for member in 0..2u64 {
             let mut growth = GrowthCounter::new(Settings::default(), "z", &member.to_string(), 1);
             growth.close(NOW);
@@ -131,7 +131,7 @@
         assert!(growth.close(NOW + hour * HOUR_MS));
         assert!(growth.pending() <= 4);
     }
-    let mut merged = Merged::new(&Settings { buckets: 3, ..Settings::default() });
+    let mut merged = GrowthHistory::new(&Settings { buckets: 3, ..Settings::default() });
     let mut keys = Vec::new();
     while let Some((key, bytes)) = growth.next() {
         merged.take(&Document::decode(&bytes).unwrap(), NOW + 30 * HOUR_MS).unwrap();
@@ -143,7 +143,7 @@
     assert!((series[2].objects / 3_001.0 - 1.0).abs() < 0.02, "{series:?}");
     // A new planner starts from the base document alone.
     let base = Document::decode(&merged.base().unwrap().encode()).unwrap();
-    let mut next_planner = Merged::new(&Settings { buckets: 3, ..Settings::default() });
+    let mut next_planner = GrowthHistory::new(&Settings { buckets: 3, ..Settings::default() });
     next_planner.take(&base, NOW + 30 * HOUR_MS).unwrap();
     assert!(
         (next_planner.base().is_none()) && next_planner.oldest() < base.bucket,
@@ -154,7 +154,7 @@
     assert!(matches!(merged.take(&future, NOW + 30 * HOUR_MS), Err(GrowthError::FutureBucket { .. })));
 }
 
-fn series(of: &Merged, start: u64, last: u64) -> Vec<Point> {
+fn series(of: &GrowthHistory, start: u64, last: u64) -> Vec<Point> {
     let cells: Vec<_> = (0..).map_while(|n| of.cell(n)).collect();
     of.series(&cells, start, last)
 }
