--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -246,7 +246,7 @@
         growth.close((hour + 1) * HOUR_MS);
         while let Some((key, bytes)) = growth.next() {
             if let Ok(document) = Document::decode(&bytes) {
-                let _ = merged.take(&document, (hour + 1) * HOUR_MS);
+                let _ = merged.merge(&document, (hour + 1) * HOUR_MS);
             }
             growth.written(&key);
         }
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -109,7 +109,7 @@
     /// # Errors
     /// The document can't be decoded, or its bucket is in the future; nothing is merged then.
     pub fn document(&mut self, bytes: &[u8], now_ms: u64) -> Result<(), GrowthError> {
-        self.merged.take(&Document::decode(bytes)?, now_ms)
+        self.merged.merge(&Document::decode(bytes)?, now_ms)
     }
 
     /// Returns whether no forecast is in progress.
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -300,7 +300,7 @@
     ///
     /// # Errors
     /// [`GrowthError::FutureBucket`] if the bucket is in the future, because the writer's clock is wrong.
-    pub fn take(&mut self, document: &Document, now_unix_ms: u64) -> Result<(), GrowthError> {
+    pub fn merge(&mut self, document: &Document, now_unix_ms: u64) -> Result<(), GrowthError> {
         // A single bucket in the far future would otherwise displace the whole history.
         if document.bucket > bucket_of(now_unix_ms, self.bucket).saturating_add(1) {
             let member = document.member.clone();
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -36,7 +36,7 @@
 
 fn merged(buckets: usize, documents: &[Document]) -> GrowthHistory {
     let mut merged = GrowthHistory::new(&Settings { buckets, ..Settings::default() });
-    documents.iter().for_each(|d| merged.take(d, NOW + 7 * HOUR_MS).unwrap());
+    documents.iter().for_each(|d| merged.merge(d, NOW + 7 * HOUR_MS).unwrap());
     merged
 }
 
@@ -102,7 +102,7 @@
                 growth.record(object + object_count * 2, 0, 1e9, false, false);
             }
             growth.close(NOW + HOUR_MS);
-            merged.take(&Document::decode(&growth.next().unwrap().1).unwrap(), NOW + HOUR_MS).unwrap();
+            merged.merge(&Document::decode(&growth.next().unwrap().1).unwrap(), NOW + HOUR_MS).unwrap();
         }
         let point = series(&merged, 0, u64::MAX)[0];
         let assert_close = |estimate: f64, expected: f64, tolerance: f64| {
@@ -134,7 +134,7 @@
     let mut merged = GrowthHistory::new(&Settings { buckets: 3, ..Settings::default() });
     let mut keys = Vec::new();
     while let Some((key, bytes)) = growth.next() {
-        merged.take(&Document::decode(&bytes).unwrap(), NOW + 30 * HOUR_MS).unwrap();
+        merged.merge(&Document::decode(&bytes).unwrap(), NOW + 30 * HOUR_MS).unwrap();
         growth.written(&key);
         keys.push(key);
     }
@@ -144,14 +144,14 @@
     // A new planner starts from the base document alone.
     let base = Document::decode(&merged.base().unwrap().encode()).unwrap();
     let mut next_planner = GrowthHistory::new(&Settings { buckets: 3, ..Settings::default() });
-    next_planner.take(&base, NOW + 30 * HOUR_MS).unwrap();
+    next_planner.merge(&base, NOW + 30 * HOUR_MS).unwrap();
     assert!(
         (next_planner.base().is_none()) && next_planner.oldest() < base.bucket,
         "no bucket of its own yet"
     );
     let mut future = base;
     future.bucket = bucket_of(NOW, 3_600_000_000) + 1_000;
-    assert!(matches!(merged.take(&future, NOW + 30 * HOUR_MS), Err(GrowthError::FutureBucket { .. })));
+    assert!(matches!(merged.merge(&future, NOW + 30 * HOUR_MS), Err(GrowthError::FutureBucket { .. })));
 }
 
 fn series(of: &GrowthHistory, start: u64, last: u64) -> Vec<Point> {
