--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns the key prefix of a zone's growth documents.
-    pub fn below(zone: &str) -> String {
+    pub fn key_prefix(zone: &str) -> String {
         format!("growth/{zone}/")
     }
 
@@ -252,7 +252,7 @@
     pub fn compaction<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Compaction> {
         let base = self.merged.base()?;
         let (key, oldest) = (base.key(&self.zone), self.merged.oldest());
-        let below = GrowthPlanner::below(&self.zone);
+        let below = GrowthPlanner::key_prefix(&self.zone);
         let bucket = |k: &str| k.strip_prefix(&below)?.split('/').next()?.parse::<u64>().ok();
         let old = keys.filter(|k| *k != key && bucket(k).is_some_and(|b| b <= oldest));
         let old: Vec<String> = old.take(MAX_REMOVED).map(str::to_owned).collect();
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -388,7 +388,7 @@
         let names = &context.settings.failure_domains;
         for (zone, planner) in &mut self.planners {
             let (Some(forecast), Some(name)) = (&mut planner.forecast, names.get(*zone)) else { continue };
-            let prefix = GrowthPlanner::below(name);
+            let prefix = GrowthPlanner::key_prefix(name);
             let listed: Vec<String> = if changes.all {
                 self.driver.below(&prefix).map(|(key, _)| key.to_owned()).collect()
             } else {
@@ -533,7 +533,7 @@
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
             compaction: forecast
-                .compaction(self.driver.below(&GrowthPlanner::below(name)).map(|(key, _)| key)),
+                .compaction(self.driver.below(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
         }
     }
 
