--- a/src/placement/load.rs
+++ b/src/placement/load.rs
@@ -48,13 +48,13 @@
 
 impl Work {
     /// Returns the key prefix of a zone's documents.
-    pub fn below(zone: &str) -> String {
+    pub fn key_prefix(zone: &str) -> String {
         format!("load/{zone}/")
     }
 
     /// Returns the key of one instance's document.
     pub fn key(zone: &str, member: &str) -> String {
-        format!("{}{member}", Work::below(zone))
+        format!("{}{member}", Work::key_prefix(zone))
     }
 
     /// Counts a request for an object; `work_us` is the time that sending the response takes, in microseconds.
