--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -72,7 +72,7 @@
     stored_schedule: Option<Vec<u8>>,
     /// Shards with a logged problem: each problem is logged once while it lasts.
     logged: BTreeSet<u64>,
-    weeks: Vec<f64>,
+    weekly_growth_factors: Vec<f64>,
 }
 
 impl GrowthPlanner {
@@ -90,7 +90,7 @@
             schedule: None,
             stored_schedule: None,
             logged: BTreeSet::new(),
-            weeks: Vec::new(),
+            weekly_growth_factors: Vec::new(),
         }
     }
 
@@ -207,7 +207,8 @@
         self.requested_changes = Some(self.changes(&job));
         let forecasts = job.forecasts.iter().map(|(_, forecast)| forecast);
         let any_known = forecasts.clone().any(|forecast| matches!(forecast, Forecast::Known(_)));
-        self.weeks = if any_known { factors(forecasts, WEEKS, &self.settings) } else { Vec::new() };
+        self.weekly_growth_factors =
+            if any_known { factors(forecasts, WEEKS, &self.settings) } else { Vec::new() };
         self.loads = job.loads;
         self.logged = job.problems;
         let schedule = self.scheduler.encode();
@@ -233,8 +234,8 @@
 
     /// Returns the growth of the zone's fills in each of the coming weeks, relative to today's; empty with too little
     /// history.
-    pub fn weeks(&self) -> &[f64] {
-        &self.weeks
+    pub fn weekly_growth_factors(&self) -> &[f64] {
+        &self.weekly_growth_factors
     }
 
     /// Returns the measured shards of the last complete forecast.
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -214,7 +214,7 @@
     pub fn growth_factors(&self, week: usize, zone_count: usize) -> Option<Vec<f64>> {
         let factor = |zone: Zone| {
             let forecast = self.planners.get(&zone).and_then(|planner| planner.forecast.as_ref());
-            forecast.and_then(|forecast| forecast.weeks().get(week)).copied()
+            forecast.and_then(|forecast| forecast.weekly_growth_factors().get(week)).copied()
         };
         let known = self.holds_lease && (0..zone_count).any(|zone| factor(zone).is_some());
         known.then(|| (0..zone_count).map(|zone| factor(zone).unwrap_or(1.0)).collect())
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -146,8 +146,11 @@
             notices.iter().for_each(|notice| write_notice(&mut self.digest, notice));
         }
         let digest = &mut self.digest;
-        digest.floats(self.ahead.weeks());
-        digest.option(first_week_over_capacity(self.ahead.weeks(), |factor| factor < 1.3), Digest::count);
+        digest.floats(self.ahead.weekly_growth_factors());
+        digest.option(
+            first_week_over_capacity(self.ahead.weekly_growth_factors(), |factor| factor < 1.3),
+            Digest::count,
+        );
         for MeasuredShard { start, load, kb } in self.ahead.loads() {
             digest.number(*start);
             digest.float(*load);
