--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -90,7 +90,7 @@
         let places: Vec<EndpointCapacity> = (0..4).map(place).collect();
         let map = map(n, 1);
         let begun = ahead.begin(&map, &places, &[], 1e6, &Work::default(), None);
-        while begun.is_ok() && !ahead.done() {
+        while begun.is_ok() && !ahead.is_idle() {
             watch.time(|| ahead.step(NOW_MS + 100 * HOUR_MS));
         }
         watch.us()
@@ -99,7 +99,7 @@
         let (mut ahead, mut watch) = (ahead(if effort.quick { 10 } else { 100 }, 2_000), Stopwatch::new());
         let map = map(n, 1);
         let begun = ahead.begin(&map, &[], &[], 1e6, &Work::default(), None);
-        while begun.is_ok() && !ahead.done() {
+        while begun.is_ok() && !ahead.is_idle() {
             watch.time(|| ahead.step(NOW_MS + 100 * HOUR_MS));
         }
         watch.us_longest()
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether no forecast is in progress.
-    pub fn done(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.job.is_none()
     }
 
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -245,7 +245,7 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        let forecasts = |planner: &ZonePlanner| planner.forecast.as_ref().is_some_and(|f| !f.done());
+        let forecasts = |planner: &ZonePlanner| planner.forecast.as_ref().is_some_and(|f| !f.is_idle());
         let own = if self.holds_lease && self.planners.values().any(forecasts) {
             self.last_forecast_slice + FORECAST_SLICE_INTERVAL
         } else {
@@ -518,7 +518,7 @@
         let name = context.zone_name(zone);
         let schedule_key = GrowthPlanner::schedule_key(name);
         let last = zone_planner.last_forecast;
-        if forecast.done() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
+        if forecast.is_idle() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
             zone_planner.last_forecast = Some(context.now);
             let until_ms = context.unix_ms.saturating_add(AHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -141,7 +141,7 @@
         let (kb_s, stored_schedule) = (self.rng.random_range(0.3..2.0), self.schedule.as_deref());
         let result = self.ahead.begin(&self.map, &endpoints, &windows, kb_s, &self.work, stored_schedule);
         self.digest.option(result.err(), |digest, error| write_error(digest, &error));
-        while !self.ahead.done() {
+        while !self.ahead.is_idle() {
             let notices = self.ahead.step(now_ms);
             notices.iter().for_each(|notice| write_notice(&mut self.digest, notice));
         }
