--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -49,7 +49,7 @@
         (0..wanted).for_each(|n| growth.record(scatter(hour << 32 | n), 0, 180.0, true, false));
         growth.close(NOW_MS + hour * HOUR_MS);
         while let Some((key, value)) = growth.next() {
-            let _ = ahead.document(&value, NOW_MS + hour * HOUR_MS);
+            let _ = ahead.merge_document(&value, NOW_MS + hour * HOUR_MS);
             growth.written(&key);
         }
     }
@@ -75,7 +75,7 @@
     let taken = effort.points(wanted, |n| {
         let document = bucket(n, 1).current().map(|d| d.1).unwrap_or_default();
         let (mut ahead, mut watch) = (GrowthPlanner::new(Settings::default(), "z"), Stopwatch::new());
-        let _ = watch.time(|| ahead.document(&document, NOW_MS));
+        let _ = watch.time(|| ahead.merge_document(&document, NOW_MS));
         watch.us()
     });
     let look = effort.points(shards, |n| {
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// The document can't be decoded, or its bucket is in the future; nothing is merged then.
-    pub fn document(&mut self, bytes: &[u8], now_ms: u64) -> Result<(), GrowthError> {
+    pub fn merge_document(&mut self, bytes: &[u8], now_ms: u64) -> Result<(), GrowthError> {
         self.merged.merge(&Document::decode(bytes)?, now_ms)
     }
 
--- a/src/growth/ahead/tests.rs
+++ b/src/growth/ahead/tests.rs
@@ -17,7 +17,7 @@
         growth.close(now_ms);
         (0..50).for_each(|n| growth.record(second * 50 + n, 0, 10.0, true, false));
         while let Some((key, value)) = growth.next() {
-            planner.document(&value, now_ms).unwrap();
+            planner.merge_document(&value, now_ms).unwrap();
             growth.written(&key);
             stored.insert(key, value);
         }
@@ -28,7 +28,7 @@
         assert!(stored.len() <= 9, "{:?}", stored.keys());
     }
     let mut next_planner = GrowthPlanner::new(settings.clone(), "edge");
-    stored.values().for_each(|value| next_planner.document(value, 2_000_000).unwrap());
+    stored.values().for_each(|value| next_planner.merge_document(value, 2_000_000).unwrap());
     let level = |source: &GrowthPlanner| {
         let cells: Vec<Cell> = (0..CELLS).filter_map(|n| source.merged.cell(n)).collect();
         source.merged.series(&cells, 0, u64::MAX).last().map(|p| p.objects)
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -397,7 +397,7 @@
             let changed = changes.keys.iter().filter(|key| key.starts_with(&prefix));
             for key in changed.chain(&listed) {
                 let Some(document) = self.driver.get(key) else { continue };
-                if let Err(error) = forecast.document(&document.value, context.unix_ms) {
+                if let Err(error) = forecast.merge_document(&document.value, context.unix_ms) {
                     warn!(context.log, "growth bucket not used"; "key" => key, "error" => %error);
                 }
             }
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -119,7 +119,7 @@
             self.digest.bytes(&bytes);
             let torn = self.rng.random_ratio(1, 20).then(|| bytes[..bytes.len() / 2].to_vec());
             let clock_lag_ms = if self.rng.random_ratio(1, 20) { 40 * HOUR_MS } else { 0 };
-            let result = self.ahead.document(torn.as_ref().unwrap_or(&bytes), now_ms - clock_lag_ms);
+            let result = self.ahead.merge_document(torn.as_ref().unwrap_or(&bytes), now_ms - clock_lag_ms);
             self.digest.option(result.err(), |digest, error| write_error(digest, &error));
             self.instances[number].written(&key);
             self.keys.push(key);
