--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -56,19 +56,19 @@
 
 /// Writes maps to disk, one after another.
 #[derive(Debug)]
-pub struct Saver {
+pub struct SnapshotWriter {
     maps: SyncSender<Arc<ShardMap>>,
 }
 
-impl Saver {
-    /// Starts the thread that writes a zone's maps into a folder; it ends when the saver is dropped.
+impl SnapshotWriter {
+    /// Starts the thread that writes a zone's maps into a folder; it ends when the `SnapshotWriter` is dropped.
     pub fn start(folder: PathBuf, zone: u16) -> io::Result<Self> {
         let (maps, queue) = sync_channel::<Arc<ShardMap>>(QUEUE_CAPACITY);
         std::thread::Builder::new().name("shards".to_owned()).spawn(move || {
             // A failed write is ignored: the map is still in the registry and in memory, and the next map is written.
             queue.iter().for_each(|map| drop(write(&folder, zone, &map)));
         })?;
-        Ok(Saver { maps })
+        Ok(SnapshotWriter { maps })
     }
 
     /// Queues a map to be written; `false` if the queue is full and the map is dropped.
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -18,7 +18,7 @@
 };
 use crate::placement::quiet::{Calendar, AHEAD_MS};
 use crate::placement::rebalance::EndpointCapacity;
-use crate::placement::snapshot::{self, Saver};
+use crate::placement::snapshot::{self, SnapshotWriter};
 use crate::placement::Settings;
 use crate::registry::documents::driver::DocumentsDriver;
 use crate::registry::documents::{Changes, Condition, Outcome, Transaction};
@@ -85,7 +85,7 @@
     zone: Zone,
     driver: DocumentsDriver,
     follower: Follower,
-    saver: Option<Saver>,
+    saver: Option<SnapshotWriter>,
     assignments: Arc<[ShardAssignment]>,
     planners: BTreeMap<Zone, ZonePlanner>,
     growth: Option<GrowthCounter>,
@@ -130,8 +130,8 @@
     }
 }
 
-fn started_saver(folder: Option<&Path>, zone: u16, log: &Logger) -> Option<Saver> {
-    Saver::start(folder?.to_owned(), zone)
+fn started_saver(folder: Option<&Path>, zone: u16, log: &Logger) -> Option<SnapshotWriter> {
+    SnapshotWriter::start(folder?.to_owned(), zone)
         .map_err(|error| warn!(log, "shard maps are not saved to disk"; "error" => %error))
         .ok()
 }
