--- a/crates/fleet-simulation/src/slopes/growth.rs
+++ b/crates/fleet-simulation/src/slopes/growth.rs
@@ -6,8 +6,8 @@
 use super::Effort;
 use crate::capacity::target::{Sum, INSTANCES, REQUESTS_EACH, SHARDS, SITES, TRAFFIC};
 use crate::capacity::{Per, Quantity, Role, Row};
-use larchdale::growth::ahead::Ahead;
-use larchdale::growth::buckets::Growth;
+use larchdale::growth::ahead::GrowthPlanner;
+use larchdale::growth::buckets::GrowthCounter;
 use larchdale::growth::Settings;
 use larchdale::placement::load::Work;
 use larchdale::placement::rebalance::EndpointCapacity;
@@ -31,25 +31,25 @@
 }
 
 /// An instance's open bucket.
-fn bucket(wanted: usize, member: usize) -> Growth {
-    let mut growth = Growth::new(Settings::default(), "z", &format!("doorman-{member}"), NOW_MS);
+fn bucket(wanted: usize, member: usize) -> GrowthCounter {
+    let mut growth = GrowthCounter::new(Settings::default(), "z", &format!("doorman-{member}"), NOW_MS);
     growth.close(NOW_MS);
     for n in 0..wanted as u64 {
-        growth.wanted(scatter(n + ((member as u64) << 40)), 0, 180.0, true, false);
+        growth.record(scatter(n + ((member as u64) << 40)), 0, 180.0, true, false);
     }
     growth
 }
 
 /// What a planner knows of one zone after so many buckets of ten thousand objects each.
-fn ahead(buckets: u64, wanted: u64) -> Ahead {
-    let mut ahead = Ahead::new(Settings::default(), "z");
-    let mut growth = Growth::new(Settings::default(), "z", "doorman", NOW_MS);
+fn ahead(buckets: u64, wanted: u64) -> GrowthPlanner {
+    let mut ahead = GrowthPlanner::new(Settings::default(), "z");
+    let mut growth = GrowthCounter::new(Settings::default(), "z", "doorman", NOW_MS);
     growth.close(NOW_MS);
     for hour in 1..=buckets {
-        (0..wanted).for_each(|n| growth.wanted(scatter(hour << 32 | n), 0, 180.0, true, false));
+        (0..wanted).for_each(|n| growth.record(scatter(hour << 32 | n), 0, 180.0, true, false));
         growth.close(NOW_MS + hour * HOUR_MS);
         while let Some((key, value)) = growth.next() {
-            let _ = ahead.document(&value, NOW_MS + hour * HOUR_MS);
+            let _ = ahead.merge_document(&value, NOW_MS + hour * HOUR_MS);
             growth.written(&key);
         }
     }
@@ -64,7 +64,7 @@
     let count = effort.points(wanted, |n| {
         let mut growth = bucket(0, 1);
         let mut watch = Stopwatch::new();
-        watch.time(|| (0..n as u64).for_each(|k| growth.wanted(scatter(k), 0, 180.0, true, false)));
+        watch.time(|| (0..n as u64).for_each(|k| growth.record(scatter(k), 0, 180.0, true, false)));
         watch.us() / n as f64
     });
     let written = effort.points(wanted, |n| {
@@ -74,8 +74,8 @@
     });
     let taken = effort.points(wanted, |n| {
         let document = bucket(n, 1).current().map(|d| d.1).unwrap_or_default();
-        let (mut ahead, mut watch) = (Ahead::new(Settings::default(), "z"), Stopwatch::new());
-        let _ = watch.time(|| ahead.document(&document, NOW_MS));
+        let (mut ahead, mut watch) = (GrowthPlanner::new(Settings::default(), "z"), Stopwatch::new());
+        let _ = watch.time(|| ahead.merge_document(&document, NOW_MS));
         watch.us()
     });
     let look = effort.points(shards, |n| {
@@ -90,7 +90,7 @@
         let places: Vec<EndpointCapacity> = (0..4).map(place).collect();
         let map = map(n, 1);
         let begun = ahead.begin(&map, &places, &[], 1e6, &Work::default(), None);
-        while begun.is_ok() && !ahead.done() {
+        while begun.is_ok() && !ahead.is_idle() {
             watch.time(|| ahead.step(NOW_MS + 100 * HOUR_MS));
         }
         watch.us()
@@ -99,7 +99,7 @@
         let (mut ahead, mut watch) = (ahead(if effort.quick { 10 } else { 100 }, 2_000), Stopwatch::new());
         let map = map(n, 1);
         let begun = ahead.begin(&map, &[], &[], 1e6, &Work::default(), None);
-        while begun.is_ok() && !ahead.done() {
+        while begun.is_ok() && !ahead.is_idle() {
             watch.time(|| ahead.step(NOW_MS + 100 * HOUR_MS));
         }
         watch.us_longest()
@@ -147,7 +147,7 @@
     let counter = effort.points(wanted, |n| heap(|| bucket(n, 1)));
     let zones = effort.sizes(&[2, 5, 10, 20], &[1, 2, 3, 4]);
     let empty = effort.points(zones, |n| {
-        heap(|| (0..n).map(|z| Ahead::new(Settings::default(), &z.to_string())).collect::<Vec<_>>())
+        heap(|| (0..n).map(|z| GrowthPlanner::new(Settings::default(), &z.to_string())).collect::<Vec<_>>())
     });
     let buckets = effort.sizes(&[10, 50, 100, 300], &[2, 4, 6, 8]);
     let kept = effort.points(buckets, |n| heap(|| ahead(n as u64, 10_000)));
--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -6,7 +6,7 @@
 //! is. A split is too late if the shard is full before the window of the move has ended. Baseline: split in the next
 //! window when full. What nothing foresees is told beside: shards that a flood fills which began under two days before.
 
-use larchdale::growth::buckets::{Document, Growth, Merged, Point, CELLS, ERROR};
+use larchdale::growth::buckets::{Document, GrowthCounter, GrowthHistory, Point, CELLS, ERROR};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{Scheduler, Shard};
 use larchdale::growth::Settings;
@@ -235,18 +235,18 @@
         longest = longest.max(took);
     }
     // What an instance pays for a request, and the planner for a zone's history.
-    let mut growth = Growth::new(settings.clone(), "z", "d", 1);
-    let mut merged = Merged::new(&settings);
+    let mut growth = GrowthCounter::new(settings.clone(), "z", "d", 1);
+    let mut merged = GrowthHistory::new(&settings);
     let (mut wanting, mut cells) = (Duration::ZERO, Duration::ZERO);
     for hour in 0..200u64 {
         growth.close(hour * HOUR_MS);
         let began = Instant::now();
-        (0..20_000).for_each(|n| growth.wanted(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
+        (0..20_000).for_each(|n| growth.record(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
         wanting += began.elapsed();
         growth.close((hour + 1) * HOUR_MS);
         while let Some((key, bytes)) = growth.next() {
             if let Ok(document) = Document::decode(&bytes) {
-                let _ = merged.take(&document, (hour + 1) * HOUR_MS);
+                let _ = merged.merge(&document, (hour + 1) * HOUR_MS);
             }
             growth.written(&key);
         }
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -7,8 +7,8 @@
 use crate::config::product::Product;
 use crate::config::settings::Document;
 use crate::failover::{SiteState, Zone};
-use crate::growth::ahead::{Ahead, Old};
-use crate::growth::buckets::Growth;
+use crate::growth::ahead::{Compaction, GrowthPlanner};
+use crate::growth::buckets::GrowthCounter;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
 use crate::placement::load::Work;
@@ -18,7 +18,7 @@
 };
 use crate::placement::quiet::{Calendar, AHEAD_MS};
 use crate::placement::rebalance::EndpointCapacity;
-use crate::placement::snapshot::{self, Saver};
+use crate::placement::snapshot::{self, SnapshotWriter};
 use crate::placement::Settings;
 use crate::registry::documents::driver::DocumentsDriver;
 use crate::registry::documents::{Changes, Condition, Outcome, Transaction};
@@ -54,7 +54,7 @@
 /// What the planner knows of one zone.
 struct ZonePlanner {
     planner: Planner,
-    forecast: Option<Ahead>,
+    forecast: Option<GrowthPlanner>,
     last_forecast: Option<Micros>,
 }
 
@@ -64,7 +64,7 @@
     /// The key and the value of the schedule of splits.
     schedule: Option<(String, Vec<u8>)>,
     /// Buckets whose history one base document takes over.
-    compaction: Option<Old>,
+    compaction: Option<Compaction>,
 }
 
 /// A request that a cache served, as the counts of growth and work take it.
@@ -85,10 +85,10 @@
     zone: Zone,
     driver: DocumentsDriver,
     follower: Follower,
-    saver: Option<Saver>,
+    saver: Option<SnapshotWriter>,
     assignments: Arc<[ShardAssignment]>,
     planners: BTreeMap<Zone, ZonePlanner>,
-    growth: Option<Growth>,
+    growth: Option<GrowthCounter>,
     work: Work,
     /// By the number of the transaction.
     pending: FxHashMap<u64, PendingTransaction>,
@@ -130,8 +130,8 @@
     }
 }
 
-fn started_saver(folder: Option<&Path>, zone: u16, log: &Logger) -> Option<Saver> {
-    Saver::start(folder?.to_owned(), zone)
+fn started_saver(folder: Option<&Path>, zone: u16, log: &Logger) -> Option<SnapshotWriter> {
+    SnapshotWriter::start(folder?.to_owned(), zone)
         .map_err(|error| warn!(log, "shard maps are not saved to disk"; "error" => %error))
         .ok()
 }
@@ -141,7 +141,7 @@
     let instances = &settings.domain.crew_by_zone;
     let is_served = |zone: Zone| zone == settings.zone || instances.get(zone).is_some_and(|count| *count > 0);
     let planner = |(zone, name): (Zone, &String)| {
-        let forecast = product.growth.clone().map(|growth| Ahead::new(growth, name));
+        let forecast = product.growth.clone().map(|growth| GrowthPlanner::new(growth, name));
         (zone, ZonePlanner { planner: Planner::new(zone as u16, ""), forecast, last_forecast: None })
     };
     let zones = settings.failure_domains.iter().enumerate();
@@ -172,7 +172,8 @@
             saver: started_saver(folder, zone as u16, log),
             assignments: Arc::default(),
             planners: zone_planners(document, product),
-            growth: growth.map(|growth| Growth::new(growth, context.zone_name(zone), name, context.unix_ms)),
+            growth: growth
+                .map(|growth| GrowthCounter::new(growth, context.zone_name(zone), name, context.unix_ms)),
             work: Work::default(),
             pending: FxHashMap::default(),
             last_transaction: 0,
@@ -213,7 +214,7 @@
     pub fn growth_factors(&self, week: usize, zone_count: usize) -> Option<Vec<f64>> {
         let factor = |zone: Zone| {
             let forecast = self.planners.get(&zone).and_then(|planner| planner.forecast.as_ref());
-            forecast.and_then(|forecast| forecast.weeks().get(week)).copied()
+            forecast.and_then(|forecast| forecast.weekly_growth_factors().get(week)).copied()
         };
         let known = self.holds_lease && (0..zone_count).any(|zone| factor(zone).is_some());
         known.then(|| (0..zone_count).map(|zone| factor(zone).unwrap_or(1.0)).collect())
@@ -244,7 +245,7 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        let forecasts = |planner: &ZonePlanner| planner.forecast.as_ref().is_some_and(|f| !f.done());
+        let forecasts = |planner: &ZonePlanner| planner.forecast.as_ref().is_some_and(|f| !f.is_idle());
         let own = if self.holds_lease && self.planners.values().any(forecasts) {
             self.last_forecast_slice + FORECAST_SLICE_INTERVAL
         } else {
@@ -255,7 +256,7 @@
 
     /// Names and values for the admin server.
     pub fn metrics(&self) -> [(&'static str, u64); 6] {
-        let waiting = self.growth.as_ref().map_or(0, Growth::pending);
+        let waiting = self.growth.as_ref().map_or(0, GrowthCounter::pending);
         [
             ("shard_epoch", u64::from(self.follower.epoch())),
             ("shards", self.assignments.len() as u64),
@@ -387,7 +388,7 @@
         let names = &context.settings.failure_domains;
         for (zone, planner) in &mut self.planners {
             let (Some(forecast), Some(name)) = (&mut planner.forecast, names.get(*zone)) else { continue };
-            let prefix = Ahead::below(name);
+            let prefix = GrowthPlanner::key_prefix(name);
             let listed: Vec<String> = if changes.all {
                 self.driver.below(&prefix).map(|(key, _)| key.to_owned()).collect()
             } else {
@@ -396,7 +397,7 @@
             let changed = changes.keys.iter().filter(|key| key.starts_with(&prefix));
             for key in changed.chain(&listed) {
                 let Some(document) = self.driver.get(key) else { continue };
-                if let Err(error) = forecast.document(&document.value, context.unix_ms) {
+                if let Err(error) = forecast.merge_document(&document.value, context.unix_ms) {
                     warn!(context.log, "growth bucket not used"; "key" => key, "error" => %error);
                 }
             }
@@ -424,7 +425,7 @@
     pub fn count_served(&mut self, request: &ServedRequest) {
         self.work.add(request.object, request.work_us);
         if let Some(growth) = &mut self.growth {
-            growth.wanted(request.object, request.part, request.kb, request.newly_filled, request.is_write);
+            growth.record(request.object, request.part, request.kb, request.newly_filled, request.is_write);
         }
     }
 
@@ -515,14 +516,15 @@
             return ForecastWrites::default();
         };
         let name = context.zone_name(zone);
-        let schedule_key = Ahead::schedule_key(name);
+        let schedule_key = GrowthPlanner::schedule_key(name);
         let last = zone_planner.last_forecast;
-        if forecast.done() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
+        if forecast.is_idle() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
             zone_planner.last_forecast = Some(context.now);
             let until_ms = context.unix_ms.saturating_add(AHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
-            let counts = self.driver.below(&Work::below(name)).map(|(_, document)| document.value.as_slice());
+            let counts =
+                self.driver.below(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
             let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
@@ -531,7 +533,8 @@
         }
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
-            compaction: forecast.old(self.driver.below(&Ahead::below(name)).map(|(key, _)| key)),
+            compaction: forecast
+                .compaction(self.driver.below(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
         }
     }
 
@@ -544,7 +547,7 @@
     ) -> Option<PlannerTransaction> {
         let ZonePlanning { context, zone, .. } = *planning;
         let forecast = zone_planner.forecast.as_ref();
-        let wishes = forecast.and_then(Ahead::requested_changes);
+        let wishes = forecast.and_then(GrowthPlanner::requested_changes);
         let view = PlannerInput {
             settings: &self.settings,
             calendar: &self.calendar,
@@ -559,7 +562,7 @@
             local_map: self.follower.map().filter(|_| zone == self.zone).map(Arc::as_ref),
             link_kb_s: planning.link_kb_s,
             endpoints: planning.caches,
-            loads: forecast.map_or(&[], Ahead::loads),
+            loads: forecast.map_or(&[], GrowthPlanner::loads),
             requested_changes: wishes.as_deref(),
         };
         zone_planner.planner.step(&view, notices)
@@ -593,7 +596,7 @@
         if let Some(schedule) = writes.schedule {
             self.submit(context, PendingTransaction::Superseded, fenced(put(schedule), fence));
         }
-        if let Some(Old { base, keys }) = writes.compaction {
+        if let Some(Compaction { base, keys }) = writes.compaction {
             debug!(context.log, "growth buckets compacted"; "zone" => zone, "keys" => keys.len());
             let transaction = Transaction { deletes: keys, ..put(base) };
             self.submit(context, PendingTransaction::Superseded, fenced(transaction, fence));
