--- a/src/failover/failure_detector.rs
+++ b/src/failover/failure_detector.rs
@@ -1,19 +1,19 @@
-//! The failure detector: the state of each site, from this instance's own attempts and its peers' reports.
+//! The failure detector: derives the state of each site from this instance's own attempts and its peers' reports.
 //!
-//! `proxy::failover` owns one [`FailureDetector`], feeds it attempts, reports and the endpoint list, and has it evaluate
-//! them. A site is *suspected* once nobody has reached any of its servers for [`Settings::suspect_after`] though most
-//! were tried, and *unreachable* once that has lasted for [`Settings::unreachable_after`]. One answer in time, to any
-//! instance that counts, ends the suspicion. An unreachable site begins to recover after its hold-off, which doubles
-//! while it flaps.
+//! `proxy::failover` owns one [`FailureDetector`], passes attempts, reports and the endpoint list to it, and has it
+//! evaluate them. A site is *suspected* once no instance has reached any of its servers for
+//! [`Settings::suspect_after`] although most were tried, and *unreachable* once this has lasted for
+//! [`Settings::unreachable_after`]. One answer in time, to any instance whose reports count, ends the suspicion. An
+//! unreachable site begins to recover after its hold-off, which doubles while the site flaps.
 //!
-//! - An instance that reaches nobody is isolated: it changes nothing, and its failures count for nobody.
-//! - A site that a peer reaches is not lost for an instance that merely can't reach it itself.
-//! - A site's own instances decide by themselves and their peers inside; for those outside it is lost if nobody outside
-//!   reaches it, whatever those inside report. Inside and outside may differ.
-//! - A peer that gossip holds to be dead reports no more; that alone speaks against no site.
+//! - An instance that reaches no site is isolated: it changes no state, and its failures are not counted by any peer.
+//! - A site that a peer reaches is not lost for an instance that can't reach it itself.
+//! - Instances inside a site consider only their own observations and reports from inside. For instances outside, the
+//!   site is lost if none of them reaches it, whatever the instances inside report. The two sides may disagree.
+//! - Reports of a peer that gossip considers dead are dropped; its death alone is no evidence against a site.
 //!
 //! Instances on the same side that receive each other's reports and are not isolated agree on whether a site is lost
-//! within [`agreement_time`] of the moment at which the observations were enough for one of them, or ended for the last.
+//! within [`agreement_time`] after the first of them has sufficient observations, or after the last of them has none.
 
 #[cfg(test)]
 mod tests;
@@ -28,40 +28,41 @@
 use crate::routing::events::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How often observations are evaluated while there are failures, in microseconds.
+/// Interval at which observations are evaluated while there are failures, in microseconds.
 pub const EVALUATION_PERIOD: Micros = 100_000;
-/// A hold-off is longer by up to this fraction of it, by chance, so that not all instances begin in one moment.
+/// Divisor of the hold-off that gives its largest random extension, so that instances do not all begin at once.
 const HOLD_OFF_JITTER_DIVISOR: Micros = 8;
-/// The state of a report's observation: serving, suspected, unreachable; from the last on a step of the recovery.
+/// Encoded states of an observation in a report; values from `REPORTED_FIRST_STEP` on are steps of a recovery.
 const REPORTED_SERVING: u8 = 0;
 const REPORTED_SUSPECTED: u8 = 1;
 const REPORTED_UNREACHABLE: u8 = 2;
 const REPORTED_FIRST_STEP: u8 = 3;
 
-/// Within how long instances agree that receive each other's reports once in `report_period`: the last that reached the
-/// site reports so for up to `unreachable_after`, its report counts for `report_ttl`, and each evaluates twice.
+/// Returns the time within which instances agree that receive each other's reports once in `report_period`: the last
+/// instance that reached the site reports this for up to `unreachable_after`, its report counts for `report_ttl`, and
+/// each instance evaluates twice.
 pub fn agreement_time(settings: &Settings, report_period: Micros) -> Micros {
     [settings.report_ttl, report_period, 2 * EVALUATION_PERIOD]
         .iter()
         .fold(settings.unreachable_after, |sum, &span| sum.saturating_add(span))
 }
 
-/// Why a state changed.
+/// Reason for a state transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// Nobody has reached it for so long, in microseconds, though most of its servers were tried.
+    /// No instance has reached the site for this time, in microseconds, although most of its servers were tried.
     NotReached(Micros),
-    /// Somebody reaches it.
+    /// An instance reaches the site.
     Reached,
-    /// It was reached throughout its hold-off of so long, in microseconds.
+    /// The site was reachable throughout its hold-off, whose length is in microseconds.
     HeldOff(Micros),
-    /// The step was held and went well.
+    /// The recovery step was held for its full time with good answers.
     StepCompleted,
-    /// The step went badly.
+    /// Attempts failed for too long during the recovery step.
     StepFailed,
-    /// This instance is new, and a peer reports that it was lost.
+    /// This instance has just started, and a peer reports that the site was lost.
     LearnedFromPeer,
-    /// The settings changed.
+    /// The number of recovery steps in the settings was reduced.
     SettingsChanged,
 }
 
@@ -74,42 +75,42 @@
             Reason::Reached => f.write_str("a server was reached"),
             Reason::HeldOff(span) => write!(f, "reached throughout the hold-off of {} ms", span / 1_000),
             Reason::StepCompleted => f.write_str("the recovery step was held with good answers"),
-            Reason::StepFailed => f.write_str("the recovery step went badly"),
+            Reason::StepFailed => f.write_str("the recovery step failed"),
             Reason::LearnedFromPeer => f.write_str("a peer reports it as recovering"),
             Reason::SettingsChanged => f.write_str("the settings changed"),
         }
     }
 }
 
-/// A site's state has changed.
+/// A transition of one site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Transition {
-    /// The site.
+    /// Zone of the site.
     pub zone: Zone,
-    /// Its state before.
+    /// State before the transition.
     pub from: SiteState,
-    /// Its state now.
+    /// State after the transition.
     pub to: SiteState,
-    /// Why.
+    /// Reason for the transition.
     pub reason: Reason,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Site {
     state: SiteState,
-    /// How long its servers take to warm up.
+    /// Time that the site's servers take to warm up.
     warm_up: Micros,
     ramp: RecoveryRamp,
-    /// Since when it has been reached, while it is unreachable.
+    /// Start of the time for which the site has been reachable while its state is `Unreachable`.
     reached_since: Option<Micros>,
-    /// The hold-off, without jitter.
+    /// Hold-off without jitter.
     hold_off: Micros,
-    /// When it last began to recover.
+    /// Start of the last recovery.
     last_recovery: Option<Micros>,
     losses: u32,
 }
 
-/// What of the settings recoveries go by.
+/// Settings that control recoveries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RecoveryRules {
     hold_off: Micros,
@@ -153,8 +154,8 @@
 }
 
 impl FailureDetector {
-    /// For an instance of `own_zone` that knows nothing yet: all `zones` serve, until there are observations or, within
-    /// [`Settings::report_ttl`], a peer's report. `jitter_seed`: of what its hold-offs are longer by.
+    /// Creates the detector of an instance in `own_zone` without observations: all `zones` are serving until there are
+    /// observations or, within [`Settings::report_ttl`], a peer's report. `jitter_seed` seeds the jitter of hold-offs.
     pub fn new(
         settings: Settings,
         own_zone: Zone,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes other settings. States stay; a step beyond the last becomes the last.
+    /// Applies other settings. States are kept; a recovery step beyond the new last step becomes the last step.
     pub fn reconfigure(&mut self, settings: Settings, transitions: &mut Vec<Transition>) {
         self.rules = RecoveryRules::of(&settings);
         self.observations.limits = TimeLimits::of(&settings);
@@ -190,20 +191,20 @@
         }
     }
 
-    /// Takes how long the servers of a zone take to warm up after a start: a recovery takes at least that long.
+    /// Sets the time that the servers of a zone take to warm up after a start: a recovery takes at least that long.
     pub fn set_warm_up(&mut self, zone: Zone, warm_up: Micros) {
         if let Some(site) = self.sites.get_mut(zone) {
             site.warm_up = warm_up;
         }
     }
 
-    /// Takes the whole list of servers. One that is gone or drains does not count among those that must be tried; that
-    /// alone speaks against no site.
+    /// Replaces the list of servers. A removed or draining server does not count among those that must be tried; its
+    /// removal alone is no evidence against a site.
     pub fn update_servers(&mut self, now: Micros, servers: impl IntoIterator<Item = ListedServer>) {
         self.observations.update_servers(now, servers);
     }
 
-    /// Takes the end of an own attempt at a server.
+    /// Records the outcome of this instance's own attempt at a server.
     pub fn record_attempt(&mut self, now: Micros, server: u64, zone: Zone, outcome: AttemptOutcome) {
         self.observations.record_attempt(now, server, zone, outcome);
         if outcome != AttemptOutcome::InTime {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Takes a peer's report that was written `age` ago; an older one than the last changes nothing.
+    /// Processes a peer's report that was written `age` ago. A report older than the peer's last one is ignored.
     pub fn receive_report(
         &mut self,
         now: Micros,
@@ -228,38 +229,39 @@
         }
     }
 
-    /// Drops the reports of a peer that left or that gossip holds to be dead.
+    /// Drops the reports of a peer that has left or that gossip considers dead.
     pub fn remove_peer(&mut self, peer: u16) {
         self.observations.remove_peer(peer);
     }
 
-    /// Whether this instance is so new that a peer may still report a site that recovers. Until then an owner that has
-    /// peers lets no site have more than the cold share.
+    /// Returns whether this instance started so recently that a peer may still report a recovering site. During this
+    /// time an owner that has peers sends no site more than the cold share.
     pub fn is_learning(&self, now: Micros) -> bool {
         now < self.learns_until
     }
 
-    /// When [`FailureDetector::evaluate`] is due at the latest; [`Micros::MAX`]: not until something happens.
+    /// Returns the latest time for the next call of [`FailureDetector::evaluate`]; [`Micros::MAX`] until the next
+    /// failure or report.
     pub fn next_evaluation(&self) -> Micros {
         self.next_evaluation
     }
 
-    /// The state of a zone; a zone that does not exist serves.
+    /// Returns the state of a zone; a zone that does not exist is serving.
     pub fn state(&self, zone: Zone) -> SiteState {
         self.sites.get(zone).map_or(SiteState::Serving, |site| site.state)
     }
 
-    /// Whether this instance reaches nobody that it tries. It changes nothing while that lasts.
+    /// Returns whether this instance fails at every site that it tries. It changes no state while isolated.
     pub fn is_isolated(&self) -> bool {
         self.isolated
     }
 
-    /// Whether any site does not plainly serve.
+    /// Returns whether any site is in another state than `Serving`.
     pub fn any_affected(&self) -> bool {
         self.sites.iter().any(|site| site.state != SiteState::Serving)
     }
 
-    /// Evaluates all observations.
+    /// Evaluates all observations and appends the resulting transitions.
     pub fn evaluate(&mut self, now: Micros, transitions: &mut Vec<Transition>) {
         self.observations.expire_reports(now);
         self.isolated = self.observations.is_isolated(now);
@@ -269,21 +271,21 @@
                 self.evaluate_site(now, zone, decision, transitions);
             }
         }
-        let busy = self.any_affected() || self.observations.any_failures(now);
-        self.next_evaluation = if busy { now.saturating_add(EVALUATION_PERIOD) } else { Micros::MAX };
+        let is_active = self.any_affected() || self.observations.any_failures(now);
+        self.next_evaluation = if is_active { now.saturating_add(EVALUATION_PERIOD) } else { Micros::MAX };
     }
 
-    /// What this instance reports of each site, the most telling first; at most [`MAX_SITES`].
+    /// Returns this instance's observations for its report, the most significant first; at most [`MAX_SITES`].
     pub fn report(&self, now: Micros) -> Vec<SiteObservation> {
         let own = self.observations.own_observations(now, self.isolated).into_iter().enumerate();
         let mut reported: Vec<SiteObservation> =
             own.filter_map(|(zone, observation)| self.report_site(now, zone, observation)).collect();
-        // A site that serves here and fails for a peer tells as much as one that is unreachable.
-        let is_telling = |site: &SiteObservation| {
+        // A site that is serving here but fails for a peer is as significant as one that is unreachable.
+        let is_significant = |site: &SiteObservation| {
             site.state > REPORTED_SERVING || self.observations.fails_for_a_peer(usize::from(site.zone))
         };
         reported.sort_by_key(|site| {
-            (!is_telling(site), std::cmp::Reverse((site.failed, site.reached)), site.zone)
+            (!is_significant(site), std::cmp::Reverse((site.failed, site.reached)), site.zone)
         });
         reported.truncate(MAX_SITES);
         reported
@@ -303,9 +305,8 @@
         };
         let zone = u8::try_from(zone).ok()?;
         let Some(observation) = observation else {
-            let nothing_tried =
-                SiteObservation { zone, reached: 0, failed: 0, unreachable_tenths_s: 0, state };
-            return (state > REPORTED_SERVING).then_some(nothing_tried);
+            let state_only = SiteObservation { zone, reached: 0, failed: 0, unreachable_tenths_s: 0, state };
+            return (state > REPORTED_SERVING).then_some(state_only);
         };
         let unreachable_for =
             observation.unreachable_since.map_or(0, |since| now.saturating_sub(since) / TENTH_US);
@@ -331,17 +332,17 @@
     ) {
         let TimeLimits { suspect_after, unreachable_after, .. } = self.observations.limits;
         let unreachable_for = match decision {
-            Decision::Unreachable { since, most: true } => now.saturating_sub(since),
+            Decision::Unreachable { since, most_tried: true } => now.saturating_sub(since),
             _ => 0,
         };
         let reason = Reason::NotReached(unreachable_for);
-        let may_lose = unreachable_for >= unreachable_after && self.observations.reaches_something(now);
+        let is_lost = unreachable_for >= unreachable_after && self.observations.reaches_any_site(now);
         match self.sites[zone].state {
             SiteState::Serving if unreachable_for >= suspect_after => {
                 self.change_state(zone, SiteState::Suspected, reason, transitions);
             }
             SiteState::Serving => {}
-            SiteState::Suspected | SiteState::Recovering { .. } if may_lose => {
+            SiteState::Suspected | SiteState::Recovering { .. } if is_lost => {
                 self.lose_site(now, zone, reason, transitions);
             }
             SiteState::Suspected => {
@@ -349,12 +350,12 @@
                     self.change_state(zone, SiteState::Serving, Reason::Reached, transitions);
                 }
             }
-            SiteState::Unreachable => self.hold_off(now, zone, decision, transitions),
-            SiteState::Recovering { step } => self.recover(now, zone, step, decision, transitions),
+            SiteState::Unreachable => self.continue_hold_off(now, zone, decision, transitions),
+            SiteState::Recovering { step } => self.continue_recovery(now, zone, step, decision, transitions),
         }
     }
 
-    fn recover(
+    fn continue_recovery(
         &mut self,
         now: Micros,
         zone: Zone,
@@ -364,8 +365,10 @@
     ) {
         let health = match decision {
             Decision::Reached { well: true } => StepHealth::Good,
-            Decision::Reached { well: false } | Decision::Unreachable { most: true, .. } => StepHealth::Bad,
-            Decision::Unreachable { most: false, .. } | Decision::Unknown => StepHealth::Unknown,
+            Decision::Reached { well: false } | Decision::Unreachable { most_tried: true, .. } => {
+                StepHealth::Bad
+            }
+            Decision::Unreachable { most_tried: false, .. } | Decision::Unknown => StepHealth::Unknown,
         };
         let tolerated = self.observations.limits.suspect_after;
         let steps = self.rules.steps;
@@ -383,9 +386,15 @@
         }
     }
 
-    /// An unreachable site recovers once it was reached throughout its hold-off. A single failure does not begin it
-    /// anew, nor does it when nobody tries: probes are few.
-    fn hold_off(&mut self, now: Micros, zone: Zone, decision: Decision, transitions: &mut Vec<Transition>) {
+    /// Begins the recovery of an unreachable site once it was reachable throughout its hold-off. Neither a single failure
+    /// nor a time without attempts restarts the hold-off, because probes are rare.
+    fn continue_hold_off(
+        &mut self,
+        now: Micros,
+        zone: Zone,
+        decision: Decision,
+        transitions: &mut Vec<Transition>,
+    ) {
         let suspect_after = self.observations.limits.suspect_after;
         let hold_off = self.hold_off_with_jitter(zone);
         let site = &mut self.sites[zone];
@@ -409,25 +418,25 @@
     fn hold_off_with_jitter(&self, zone: Zone) -> Micros {
         let site = &self.sites[zone];
         let key = [zone as u64, u64::from(site.losses)].map(u64::to_le_bytes).concat();
-        let most = (site.hold_off / HOLD_OFF_JITTER_DIVISOR).max(1);
-        let jitter = xxh3_64_with_seed(&key, self.jitter_seed) % most;
+        let max_jitter = (site.hold_off / HOLD_OFF_JITTER_DIVISOR).max(1);
+        let jitter = xxh3_64_with_seed(&key, self.jitter_seed) % max_jitter;
         site.hold_off.saturating_add(jitter).min(self.rules.max_hold_off)
     }
 
     fn lose_site(&mut self, now: Micros, zone: Zone, reason: Reason, transitions: &mut Vec<Transition>) {
         let RecoveryRules { hold_off, max_hold_off, flap_window, .. } = self.rules;
         let site = &mut self.sites[zone];
-        let flaps = site.last_recovery.is_some_and(|at| now.saturating_sub(at) < flap_window);
+        let is_flapping = site.last_recovery.is_some_and(|at| now.saturating_sub(at) < flap_window);
         let doubled = site.hold_off.saturating_mul(2).clamp(hold_off, max_hold_off);
-        site.hold_off = if flaps { doubled } else { hold_off };
+        site.hold_off = if is_flapping { doubled } else { hold_off };
         site.losses = site.losses.saturating_add(1);
         site.reached_since = None;
         self.change_state(zone, SiteState::Unreachable, reason, transitions);
     }
 
-    /// Takes over the recoveries that a peer reports to a new instance, at the lowest step reported: when most instances
-    /// have started anew, none may go beyond the step that the others were at. A site's own instances send it most, so
-    /// they learn from those outside too.
+    /// Adopts the recoveries that peers report to an instance that has just started, at the lowest step reported: after
+    /// most instances have restarted, none may be beyond the step that the others had reached. Instances inside a site
+    /// send it most of its load, so they learn from those outside too.
     fn learn(&mut self, now: Micros, report: &SiteReport, transitions: &mut Vec<Transition>) {
         for reported in report.observations.iter().filter(|site| site.state >= REPORTED_UNREACHABLE) {
             let zone = usize::from(reported.zone);
@@ -451,7 +460,7 @@
 
     fn change_state(&mut self, zone: Zone, to: SiteState, reason: Reason, transitions: &mut Vec<Transition>) {
         let from = std::mem::replace(&mut self.sites[zone].state, to);
-        invariant!(from.may_become(to), "a site's state changes along the edges there are");
+        invariant!(from.may_become(to), "a site's state changes only by allowed transitions");
         transitions.push(Transition { zone, from, to, reason });
     }
 }
--- a/src/failover/observations.rs
+++ b/src/failover/observations.rs
@@ -1,41 +1,41 @@
-//! What is known of each site: the ends of this instance's own attempts, and its peers' reports with their age.
+//! Observations of each site: outcomes of this instance's own attempts, and its peers' reports with their age.
 //!
-//! [`Observations`] is owned by the failure detector, which asks it what all of them come to.
+//! [`Observations`] is owned by the failure detector, which derives a [`Decision`] for each site from them.
 
 use super::site_report::{SiteObservation, SiteReport};
 use super::Zone;
 use crate::routing::events::Micros;
 use std::collections::BTreeMap;
 
-/// Servers whose attempts are kept apart; attempts at others count for their site only.
+/// Maximum number of servers tracked individually; attempts at others count for their site only.
 const MAX_SERVERS: usize = 20_000;
-/// Peers whose reports are kept: all that settings may name, so that none of the fleet is left out.
+/// Maximum number of peers whose reports are kept: all that the settings may name, so that no instance is ignored.
 const MAX_PEERS: u16 = 4_096;
-/// Failures of one site in a row speak against the site from this weight on. With a fifth of all attempts timing out,
-/// eight timeouts in a row come about once in 400,000 attempts.
+/// Weight from which consecutive failures at one site are evidence against the site. If a fifth of all attempts time
+/// out, eight consecutive timeouts occur about once in 400,000 attempts.
 const MIN_FAILURE_WEIGHT: u32 = 8;
-/// A site is reached well if this many times the servers reached are no fewer than those that failed.
+/// A site is well reachable if the number of servers reached times this factor is at least the number that failed.
 const REACHED_WELL_FACTOR: u32 = 3;
-/// `unreachable_tenths_s` of a report that means this or longer.
+/// Largest value of `unreachable_tenths_s` in a report; stands for this duration or a longer one.
 const SATURATED_TENTHS_S: u8 = u8::MAX;
-/// Microseconds in a tenth of a second, the unit of reports.
+/// A tenth of a second, the time unit of reports, in microseconds.
 pub(super) const TENTH_US: Micros = 100_000;
 
-/// How one attempt of this instance ended, as far as it tells of the site that it went to.
+/// Outcome of one attempt of this instance, as far as it concerns the site of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// Answered in time, with whatever answer.
+    /// Any response arrived in time.
     InTime,
-    /// The connection was refused, or could not be opened: nobody is there.
+    /// The connection was refused or could not be opened.
     Refused,
-    /// The connection broke under the attempt.
+    /// The connection broke during the attempt.
     Reset,
-    /// Nothing came.
+    /// No response arrived in time.
     TimedOut,
 }
 
 impl AttemptOutcome {
-    /// How much a failure weighs; `None`: it was none.
+    /// Returns the weight of a failure, or `None` for a success.
     fn failure_weight(self) -> Option<u32> {
         match self {
             AttemptOutcome::InTime => None,
@@ -49,15 +49,15 @@
 /// A server of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ListedServer {
-    /// The key that attempts name it by.
+    /// Key of the server in attempts.
     pub key: u64,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: Zone,
-    /// The list has it as serving.
+    /// Whether the endpoint list has the server as serving.
     pub serving: bool,
 }
 
-/// Times that observations are judged by; see [`crate::failover::Settings`].
+/// Time limits for evaluating observations; see [`crate::failover::Settings`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct TimeLimits {
     pub suspect_after: Micros,
@@ -75,12 +75,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Server {
     zone: Zone,
-    /// The list has it as serving.
+    /// Whether the endpoint list has the server as serving.
     serving: bool,
     latest: Option<Attempt>,
 }
 
-/// Failures in a row.
+/// A run of consecutive failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FailureRun {
     since: Micros,
@@ -95,17 +95,17 @@
     failures: Option<FailureRun>,
 }
 
-/// What one instance last knew of one site.
+/// The latest observation of one site by one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Observation {
     observed_at: Micros,
-    /// Since when there have been only failures; `None`: it is reached.
+    /// Start of the time with failures only; `None` if the site is reached.
     pub unreachable_since: Option<Micros>,
-    /// When it was reached last, as far as is known.
+    /// Time of the last success, if known.
     last_reached: Option<Micros>,
-    /// Servers of it that were reached lately.
+    /// Number of the site's servers that were reached recently.
     pub reached: u32,
-    /// Servers of it that were tried and not reached; 0 as long as that tells nothing of the site.
+    /// Number of the site's servers that were tried and not reached; 0 while this is no evidence against the site.
     pub failed: u32,
 }
 
@@ -116,38 +116,38 @@
     observations: BTreeMap<Zone, Observation>,
 }
 
-/// What all observations of one site come to.
+/// Result of evaluating all observations of one site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Decision {
-    /// Nobody has tried lately.
+    /// No instance has tried the site recently.
     Unknown,
-    /// Somebody reaches it.
+    /// An instance reaches the site.
     Reached {
-        /// Not just a few of many servers.
+        /// Whether an instance reaches at least a quarter of the servers that it has tried.
         well: bool,
     },
-    /// Nobody has reached it.
+    /// No instance reaches the site.
     Unreachable {
-        /// Since when.
+        /// Start of the time in which the site was not reached.
         since: Micros,
-        /// Most of its servers were tried.
-        most: bool,
+        /// Whether most of its servers were tried.
+        most_tried: bool,
     },
 }
 
-/// Servers of one site that were tried lately.
+/// Numbers of servers of one site that were tried recently, by result.
 #[derive(Clone, Copy, Default)]
 struct ServerCounts {
     reached: u32,
     failed: u32,
 }
 
-/// What is known of all sites.
+/// All observations of all sites.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Observations {
     pub limits: TimeLimits,
     own_zone: Zone,
-    /// By zone.
+    /// This instance's attempts, by zone.
     own: Vec<OwnAttempts>,
     servers: BTreeMap<u64, Server>,
     peers: BTreeMap<u16, Peer>,
@@ -159,7 +159,7 @@
         Observations { limits, own_zone, own, servers: BTreeMap::new(), peers: BTreeMap::new() }
     }
 
-    /// Takes the whole list of servers.
+    /// Replaces the list of servers.
     pub(super) fn update_servers(&mut self, now: Micros, listed: impl IntoIterator<Item = ListedServer>) {
         let mut unlisted = std::mem::take(&mut self.servers);
         let zones = self.own.len();
@@ -177,7 +177,7 @@
         self.servers.extend(kept.map(|(key, server)| (key, Server { serving: false, ..server })));
     }
 
-    /// Takes the end of an own attempt.
+    /// Records the outcome of this instance's own attempt.
     pub(super) fn record_attempt(&mut self, now: Micros, key: u64, zone: Zone, outcome: AttemptOutcome) {
         let report_ttl = self.limits.report_ttl;
         let Some(own) = self.own.get_mut(zone) else { return };
@@ -185,7 +185,7 @@
         match failure_weight {
             None => *own = OwnAttempts { last_in_time: Some(now), failures: None },
             Some(weight) => {
-                // A failure long ago says nothing of the time between.
+                // An old failure is no evidence of what happened since, so a new run begins.
                 let run = own.failures.filter(|run| now.saturating_sub(run.last) < report_ttl);
                 let run = run.unwrap_or(FailureRun { since: now, last: now, weight: 0 });
                 let weight = run.weight.saturating_add(weight);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes a peer's report that was written `age` ago. Whether it tells of failures.
+    /// Processes a peer's report that was written `age` ago. Returns whether the report contains failures.
     pub(super) fn receive_report(
         &mut self,
         now: Micros,
@@ -221,22 +221,22 @@
             self.peers.entry(peer).or_insert(Peer { zone, reported_at, observations: BTreeMap::new() });
         known.zone = zone;
         known.reported_at = reported_at;
-        let mut tells_of_failures = false;
+        let mut has_failures = false;
         for reported in report.observations.iter().filter(|reported| usize::from(reported.zone) < zones) {
             let site = usize::from(reported.zone);
             let before = known.observations.get(&site);
             let Some(observation) = Observation::from_report(reported, reported_at, before) else { continue };
-            tells_of_failures |= observation.unreachable_since.is_some();
+            has_failures |= observation.unreachable_since.is_some();
             known.observations.insert(site, observation);
         }
-        tells_of_failures
+        has_failures
     }
 
     pub(super) fn remove_peer(&mut self, peer: u16) {
         self.peers.remove(&peer);
     }
 
-    /// Drops reports that count no more.
+    /// Drops reports that have reached their time to live.
     pub(super) fn expire_reports(&mut self, now: Micros) {
         let report_ttl = self.limits.report_ttl;
         for peer in self.peers.values_mut() {
@@ -245,43 +245,44 @@
         self.peers.retain(|_, peer| now.saturating_sub(peer.reported_at) < report_ttl);
     }
 
-    /// Whether anybody has lately failed at a site.
+    /// Returns whether any instance has recently failed at a site.
     pub(super) fn any_failures(&self, now: Micros) -> bool {
         (0..self.own.len()).any(|zone| self.own_failures(zone, now).is_some())
             || (0..self.own.len()).any(|zone| self.fails_for_a_peer(zone))
     }
 
-    /// Whether a peer fails at a site.
+    /// Returns whether a peer fails at a site.
     pub(super) fn fails_for_a_peer(&self, zone: Zone) -> bool {
         let mut observations = self.peers.values().filter_map(|peer| peer.observations.get(&zone));
         observations.any(|observation| observation.unreachable_since.is_some())
     }
 
-    /// The own run of failures that still counts.
+    /// Returns this instance's current run of failures at a site, unless it has expired.
     fn own_failures(&self, zone: Zone, now: Micros) -> Option<FailureRun> {
         let run = self.own.get(zone)?.failures?;
         (now.saturating_sub(run.last) < self.limits.report_ttl).then_some(run)
     }
 
-    /// Whether own failures since a moment tell of a site rather than of this instance: it has reached something
-    /// `suspect_after` after they began. An answer that was on its way when this instance was cut off does not count.
-    fn blames_the_site(&self, since: Micros) -> bool {
+    /// Returns whether failures since `since` are caused by the site rather than by this instance: this instance has
+    /// reached some site at least `suspect_after` later. The delay excludes answers that were in transit when this
+    /// instance was cut off.
+    fn is_caused_by_site(&self, since: Micros) -> bool {
         let last_in_time = self.own.iter().filter_map(|own| own.last_in_time).max();
         last_in_time.is_some_and(|at| at >= since.saturating_add(self.limits.suspect_after))
     }
 
-    /// Whether this instance fails everywhere that it tries.
+    /// Returns whether this instance fails at every site that it tries.
     pub(super) fn is_isolated(&self, now: Micros) -> bool {
         let runs = (0..self.own.len()).filter_map(|zone| self.own_failures(zone, now));
         let latest = runs.map(|run| run.since).max();
         latest.is_some_and(|since| {
-            now >= since.saturating_add(self.limits.suspect_after) && !self.blames_the_site(since)
+            now >= since.saturating_add(self.limits.suspect_after) && !self.is_caused_by_site(since)
         })
     }
 
-    /// Whether this instance is not just now failing everywhere. [`Observations::is_isolated`] takes `suspect_after` to
-    /// show, and what was observed before must not decide meanwhile.
-    pub(super) fn reaches_something(&self, now: Micros) -> bool {
+    /// Returns whether this instance is not failing at every site at this moment. [`Observations::is_isolated`] detects
+    /// isolation only after `suspect_after`, and earlier observations must not lead to a decision in the meantime.
+    pub(super) fn reaches_any_site(&self, now: Micros) -> bool {
         let mut reaches = false;
         let mut fails = false;
         for (zone, own) in self.own.iter().enumerate() {
@@ -296,7 +297,7 @@
         now.saturating_sub(at) < self.limits.unreachable_after
     }
 
-    /// What this instance itself observes of each site now, in one pass over the servers.
+    /// Returns this instance's own observation of each site, in one pass over the servers.
     pub(super) fn own_observations(&self, now: Micros, isolated: bool) -> Vec<Option<Observation>> {
         let counts = self.count_servers(now).into_iter().enumerate();
         counts.map(|(zone, count)| self.own_observation(now, isolated, zone, count)).collect()
@@ -337,12 +338,12 @@
         let Some(run) = self.own_failures(zone, now) else {
             return own.last_in_time.filter(|&at| self.is_recent(at, now)).map(|_| reached);
         };
-        let counts = run.weight >= MIN_FAILURE_WEIGHT && !isolated && self.blames_the_site(run.since);
+        let counts = run.weight >= MIN_FAILURE_WEIGHT && !isolated && self.is_caused_by_site(run.since);
         let failed = if counts { count.failed } else { 0 };
         Some(Observation { unreachable_since: Some(run.since), reached: 0, failed, ..reached })
     }
 
-    /// What all observations come to, by site; [`Observations::expire_reports`] comes first.
+    /// Evaluates all observations, by site; call [`Observations::expire_reports`] first.
     pub(super) fn decisions(&self, now: Micros, isolated: bool) -> Vec<Decision> {
         let mut serving = vec![0u32; self.own.len()];
         for server in self.servers.values().filter(|server| server.serving) {
@@ -352,8 +353,9 @@
         own.map(|(zone, own)| decide(&self.counted_observations(zone, own), serving[zone])).collect()
     }
 
-    /// The observations that count for a site. Instances inside it decide by themselves whether it serves. For all
-    /// others it is lost if nobody outside reaches it: only where nobody outside has tried do reports from inside count.
+    /// Returns the observations that count for a site. Instances inside the site use only observations from inside. For
+    /// instances outside, the site is lost if none of them reaches it: reports from inside count only if no instance
+    /// outside has tried.
     fn counted_observations(&self, zone: Zone, own: Option<Observation>) -> Vec<Observation> {
         let reported = |inside: bool| {
             let peers = self.peers.values().filter(move |peer| (peer.zone == zone) == inside);
@@ -368,7 +370,7 @@
     }
 }
 
-/// What the observations of one site come to, of which `serving` servers are listed as serving.
+/// Evaluates the observations of one site that has `serving` servers listed as serving.
 fn decide(observations: &[Observation], serving: u32) -> Decision {
     let reaching: Vec<&Observation> =
         observations.iter().filter(|observation| observation.unreachable_since.is_none()).collect();
@@ -380,11 +382,11 @@
         return Decision::Unknown;
     };
     let last_reached = observations.iter().filter_map(|observation| observation.last_reached).max();
-    // Several instances may have failed at the same few servers, so their counts don't add up.
+    // Several instances may have failed at the same few servers, so the maximum counts and not the sum.
     let failed = observations.iter().map(|observation| observation.failed).max().unwrap_or(0);
     Decision::Unreachable {
         since: first.max(last_reached.unwrap_or(0)),
-        most: failed.saturating_mul(2) > serving,
+        most_tried: failed.saturating_mul(2) > serving,
     }
 }
 
@@ -393,7 +395,8 @@
         self.reached.saturating_mul(REACHED_WELL_FACTOR) >= self.failed
     }
 
-    /// What a peer's report says of one site, if it says anything; `before`: what its last report said.
+    /// Converts what a peer's report contains on one site; `None` if the peer has not tried it. `before`: the observation
+    /// from the peer's previous report.
     fn from_report(
         reported: &SiteObservation,
         reported_at: Micros,
@@ -416,7 +419,7 @@
         }
         let span = Micros::from(reported.unreachable_tenths_s) * TENTH_US;
         let reported_since = reported_at.saturating_sub(span);
-        // A span at the end of its range may be longer: what the peer reported earlier still holds.
+        // A saturated duration may be longer than reported, so the peer's earlier report still gives the start.
         let earlier = before
             .and_then(|before| before.unreachable_since)
             .filter(|_| reported.unreachable_tenths_s == SATURATED_TENTHS_S);
