--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -1,18 +1,18 @@
-//! The loss of a whole site (a zone of the settings): whether it is unreachable, where its load goes, which requests
-//! are rejected first, and how it recovers.
+//! Failover of a whole site (a zone of the settings): detection of its loss, redistribution of its load, the order in
+//! which requests are rejected, and its recovery.
 //!
-//! None of these modules has a clock or does I/O; `proxy::failover` owns a [`FailureDetector`] and the plans, feeds
-//! them and hands the resulting constraints to the router.
+//! None of these modules reads a clock or does I/O. `proxy::failover` owns a [`FailureDetector`] and the plans, passes
+//! observations to them and hands the resulting constraints to the router.
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
 //! | [`failure_detector`] | the state of each site, from observations |
-//! | [`site_report`] | what an instance tells its peers of sites |
-//! | [`recovery_ramp`] | the steps by which a site gets its load back |
-//! | [`load_shift`] | plans for the loss of each site, and the constraints by them |
+//! | [`site_report`] | the report on sites that an instance sends to its peers |
+//! | [`recovery_ramp`] | the steps by which the load of a recovering site is restored |
+//! | [`load_shift`] | plans for the loss of each site, and the routing constraints derived from them |
 //!
-//! Order of precedence: rules of the protocol, then a lost site's plan, then its recovery, then moves of shards, then
-//! splits.
+//! Order of precedence, highest first: rules of the protocol, the plan for a lost site, the site's recovery, moves of
+//! shards, splits of shards.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 pub mod failure_detector;
@@ -29,5 +29,5 @@
 pub use settings::Settings;
 pub use site_state::SiteState;
 
-/// A zone, by its place in the settings' list of zones.
+/// Index of a zone in the settings' list of zones.
 pub type Zone = usize;
--- a/src/failover/settings.rs
+++ b/src/failover/settings.rs
@@ -1,33 +1,33 @@
-//! What `site_plan(...)` of the product's script sets.
+//! Settings that the product's script sets with `site_plan(...)`.
 
 use crate::routing::events::Micros;
 
 const SECOND: Micros = 1_000_000;
 
-/// Settings of the failure detector and of the plans. Times in microseconds.
+/// Settings of the failure detector and of the plans. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Failures at most servers of a site have to last so long before it is suspected.
+    /// Duration of failures at most of a site's servers after which the site is suspected.
     pub suspect_after: Micros,
-    /// And so long, from the first of them on, before it is unreachable.
+    /// Duration of these failures, counted from the first one, after which the site is unreachable.
     pub unreachable_after: Micros,
-    /// A peer's report that is older than this counts for nothing.
+    /// Age from which a peer's report is ignored.
     pub report_ttl: Micros,
-    /// An unreachable site has to be reached for so long before it begins to recover.
+    /// Time for which an unreachable site has to be reachable before its recovery begins.
     pub hold_off: Micros,
-    /// What the hold-off of a site that flaps, doubled each time, grows to at most.
+    /// Upper limit of the hold-off, which doubles each time a site flaps.
     pub max_hold_off: Micros,
-    /// A site that is lost again within so long of its last recovery flaps.
+    /// Time from the start of the last recovery within which another loss counts as flapping.
     pub flap_window: Micros,
-    /// Steps of a recovery.
+    /// Number of steps of a recovery.
     pub recovery_steps: u8,
-    /// Part of a target's capacity that plans may fill, 0 to 1.
+    /// Fraction of a target's capacity that plans may use, 0 to 1.
     pub headroom: f64,
-    /// Part of each class's load that a plan admits at least, as far as there is capacity at all, 0 to 1.
+    /// Smallest fraction of each class's load that a plan admits as long as there is capacity, 0 to 1.
     pub floor: f64,
-    /// Part of a zone's link that its load is taken to be while no load is measured, 0 to 1.
+    /// Load of a zone that is assumed while none is measured, as a fraction of its link's capacity, 0 to 1.
     pub assumed_demand: f64,
-    /// Plans may send requests of a zone to caches of other zones.
+    /// Whether plans may send requests of a zone to caches of other zones.
     pub cross_zone_caches: bool,
 }
 
--- a/src/failover/site_state.rs
+++ b/src/failover/site_state.rs
@@ -1,31 +1,32 @@
-//! The state of a site, and which state may follow which.
+//! The state of a site, and the allowed state transitions.
 
-/// What an instance takes a site to be. Only the states after `Suspected` change what is sent where.
+/// State of a site in one instance's view. Only `Unreachable` and `Recovering` affect routing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum SiteState {
-    /// It serves.
+    /// The site serves requests.
     #[default]
     Serving,
-    /// Observations speak against the site as a whole; no load is shifted yet, and no move of a shard begins.
+    /// Attempts at most of the site's servers fail; no load is shifted yet, and no move of a shard begins.
     Suspected,
-    /// It counts as lost: its load goes where its plan says.
+    /// The site counts as lost: its load is redistributed according to the plan for its loss.
     Unreachable,
-    /// It is back, and gets its load again step by step; step 0 is the cold share.
+    /// The site is reachable again, and its load is restored step by step; step 0 is the cold share.
     Recovering {
-        /// From 0 up to [`Settings::recovery_steps`](super::Settings::recovery_steps) - 1; after the last it serves.
+        /// From 0 to [`Settings::recovery_steps`](super::Settings::recovery_steps) - 1; the site serves after the last.
         step: u8,
     },
 }
 
 impl SiteState {
-    /// Whether a state may follow this one.
+    /// Returns whether the transition from this state to `next` is allowed.
     pub(super) fn may_become(self, next: SiteState) -> bool {
         use SiteState::{Recovering, Serving, Suspected, Unreachable};
         match (self, next) {
             (Serving, Suspected)
             | (Suspected, Serving | Unreachable)
             | (Unreachable, Recovering { step: 0 }) => true,
-            // A new instance learns of a recovery from a peer; a suspected site recovers only after a loss.
+            // An instance that has just started may learn from a peer that a site is recovering. A suspected site
+            // has to become unreachable before it can recover.
             (Serving, Recovering { .. }) | (Recovering { .. }, Serving | Unreachable) => true,
             (Recovering { step: from }, Recovering { step: to }) => to < from || to == from.saturating_add(1),
             _ => false,
