--- a/src/failover/instance_share.rs
+++ b/src/failover/instance_share.rs
@@ -1,6 +1,6 @@
-//! This instance's share of a limit that holds for all instances together.
+//! This instance's share of a limit that applies to the sum over all instances.
 //!
-//! The shares of all instances that can exist add up to no more than 1, whichever of them are alive and whatever
+//! The shares of all instances that can exist add up to at most 1, whichever of them are alive and whichever
 //! datagrams arrive.
 
 #[cfg(test)]
@@ -9,25 +9,25 @@
 use super::Zone;
 use crate::routing::events::{Micros, Settings};
 
-/// This instance's share of a limit over all instances.
+/// Provides this instance's share of a limit over all instances.
 pub trait InstanceShare {
-    /// Its part of what a zone's servers may be sent, above 0 and up to 1.
+    /// Returns the fraction of a zone's limit that this instance may use, above 0 and up to 1.
     fn share(&self, zone: Zone, now: Micros) -> f64;
 }
 
-/// An even share for each instance that may exist.
+/// Equal shares for all instances that may exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvenShare {
     max_instances: f64,
-    /// By zone: the most instances that may send there, if not all may.
+    /// By zone, the maximum number of instances that may send to it; `None` if all instances may.
     local: Vec<Option<f64>>,
     processes: f64,
 }
 
 impl EvenShare {
-    /// `named_peers`: instances that the settings name as peers, itself included; 0: none. `local`: zones that no
-    /// instance of another zone ever sends to. Where the settings count fewer instances than are named, those that no
-    /// zone counts may be in any zone.
+    /// Creates the shares. `named_peers` is the number of instances that the settings name as peers, including this one;
+    /// 0 if none are named. `local` lists zones that no instance of another zone ever sends to. If the settings count
+    /// fewer instances by zone than are named, the remaining instances may be in any zone.
     pub fn new(settings: &Settings, named_peers: usize, local: &[Zone]) -> Self {
         let configured = f64::from(settings.routers).max(1.0);
         let counted: f64 = settings.routers_by_zone.iter().map(|&count| f64::from(count)).sum();
@@ -42,7 +42,7 @@
 }
 
 impl InstanceShare for EvenShare {
-    /// Two processes of which one takes over from the other are one instance: each has half of its share.
+    /// While one process takes over from another, both belong to one instance, and each gets half of its share.
     fn share(&self, zone: Zone, _now: Micros) -> f64 {
         let instances = self.local.get(zone).copied().flatten().unwrap_or(self.max_instances);
         1.0 / instances / self.processes
--- a/src/failover/recovery_ramp.rs
+++ b/src/failover/recovery_ramp.rs
@@ -1,6 +1,7 @@
-//! The steps by which a site that was unreachable gets its load back.
+//! The steps by which the load of a site is restored after it was unreachable.
 //!
-//! Each site of the failure detector has a `RecoveryRamp`; `proxy::failover` turns its step into a part of the load.
+//! Each site of the failure detector has a `RecoveryRamp`; `proxy::failover` converts its step into a share of the
+//! load.
 
 #[cfg(test)]
 mod tests;
@@ -8,14 +9,15 @@
 use super::SiteState;
 use crate::routing::events::Micros;
 
-/// The least share of the first step: with none, a recovery would never begin.
+/// Minimum share of the first step: with a share of 0 a recovery would never begin.
 const MIN_SHARE: f64 = 0.01;
 
-/// The part of a site's full capacity that all instances together may send it. What is left of its load, 1 less this,
-/// stays where its plan says: neither side has both or neither.
+/// Returns the fraction of a site's full capacity that all instances together may send to the site. The remaining
+/// fraction of its load is still routed by the plan for its loss, so that no load is sent twice or not at all.
 ///
-/// From `cold_share` to 1 by equal factors, not by equal amounts: so each step adds the same part to what the site has
-/// just borne. By equal amounts the first step from a tenth would be near three times as much.
+/// The share grows from `cold_share` to 1 by equal factors, not by equal amounts, so each step adds the same fraction
+/// of the load that the site has just carried. By equal amounts the first step from a share of a tenth would nearly
+/// triple the load.
 pub fn traffic_share(state: SiteState, steps: u8, cold_share: f64) -> f64 {
     let cold_share = if cold_share.is_finite() { cold_share.clamp(MIN_SHARE, 1.0) } else { MIN_SHARE };
     match state {
@@ -28,36 +30,36 @@
     }
 }
 
-/// How the attempts at a site went since the last evaluation.
+/// Health of a site during a recovery step, by the observations at one evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StepHealth {
-    /// It is reached well.
+    /// The site is well reachable.
     Good,
-    /// It fails, or is reached at a few of many servers only.
+    /// The site fails, or only a few of many servers are reached.
     Bad,
-    /// Nothing is known: nothing changes.
+    /// There are not enough observations; the step is kept.
     Unknown,
 }
 
-/// What follows for the step of a ramp.
+/// Result of one evaluation of a ramp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RampChange {
-    /// It stays.
+    /// The step is kept.
     Hold,
-    /// The next one, or the one before.
+    /// The ramp moves to this step, the next or the previous one.
     To(u8),
-    /// The last was held.
+    /// The last step was held for its full time.
     Completed,
 }
 
-/// What a ramp goes by.
+/// Limits of a ramp.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RampLimits {
-    /// How long a step is held.
+    /// Time for which a step is held.
     pub hold: Micros,
-    /// How long it may go badly before it is taken back.
+    /// Time for which a step may be unhealthy before the ramp moves back.
     pub tolerated: Micros,
-    /// How many steps there are.
+    /// Number of steps.
     pub steps: u8,
 }
 
@@ -65,7 +67,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct RecoveryRamp {
     step: u8,
-    /// Since when the step has been held with nothing bad.
+    /// Start of the time for which the step has been held without bad health.
     since: Micros,
     bad_since: Option<Micros>,
 }
@@ -75,13 +77,13 @@
         RecoveryRamp { step, since: now, bad_since: None }
     }
 
-    /// Goes down to a step.
+    /// Lowers the current step to at most `step`.
     pub(super) fn lower_to(&mut self, step: u8) {
         self.step = self.step.min(step);
     }
 
-    /// Takes the next step once the present one was held for [`RampLimits::hold`] and goes well now, or the one before
-    /// once it went badly for [`RampLimits::tolerated`].
+    /// Moves to the next step once the current one was held for [`RampLimits::hold`] and its health is good, or to the
+    /// previous step once its health was bad for [`RampLimits::tolerated`].
     pub(super) fn advance(&mut self, now: Micros, health: StepHealth, limits: RampLimits) -> RampChange {
         match health {
             StepHealth::Unknown => RampChange::Hold,
@@ -90,7 +92,8 @@
         }
     }
 
-    /// From the first step a site goes back only by what makes it unreachable.
+    /// Moves to the previous step after bad health for long enough. The first step has no previous one: there the site
+    /// can only become unreachable.
     fn step_back(&mut self, now: Micros, limits: RampLimits) -> RampChange {
         let since = *self.bad_since.get_or_insert(now);
         if now.saturating_sub(since) < limits.tolerated {
--- a/src/failover/site_report.rs
+++ b/src/failover/site_report.rs
@@ -1,70 +1,70 @@
-//! What each instance tells its peers of itself and of sites, along with the gossip datagrams.
+//! The report on itself and on sites that each instance sends to its peers in gossip datagrams.
 //!
-//! A report is a hint that ages and may be lost: no bound, and no decision that all must share, rests on one. The
-//! failure detector fills in the observations, `proxy::failover` sends and receives the reports.
+//! A report is a hint that ages and may be lost: no limit depends on one, nor does any decision on which all instances
+//! must agree. The failure detector fills in the observations; `proxy::failover` sends and receives the reports.
 
 #[cfg(test)]
 mod tests;
 
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a report: it shares datagrams of 256 bytes with membership updates and with reports of others.
+/// Maximum length of a report in bytes: it shares datagrams of 256 bytes with membership updates and other reports.
 pub const MAX_BYTES: usize = 64;
-/// Most sites that one report speaks of.
+/// Maximum number of sites in one report.
 pub const MAX_SITES: usize = 12;
 /// Version of the encoding.
 pub const VERSION: u8 = 1;
 
-/// What one instance observes of one site, as far as it has tried the site lately.
+/// One instance's observation of one site that it has tried recently.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct SiteObservation {
-    /// Which.
+    /// Zone of the site.
     pub zone: u8,
-    /// Servers of the site that this instance has reached lately.
+    /// Number of the site's servers that the instance has reached recently.
     pub reached: u8,
-    /// Servers of the site that it has tried lately and not reached.
+    /// Number of the site's servers that the instance has tried recently and not reached.
     pub failed: u8,
-    /// For how long there has been nothing but failures there, in tenths of a second; 255: that long or longer.
+    /// Time for which all attempts have failed, in tenths of a second; 255 stands for 25.5 s or longer.
     pub unreachable_tenths_s: u8,
-    /// What the sender takes the site to be: 0 serving, 1 suspected, 2 unreachable, 3 + step: recovering.
+    /// State of the site in the sender's view: 0 serving, 1 suspected, 2 unreachable, 3 + step recovering.
     pub state: u8,
 }
 
 /// One instance's report.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct SiteReport {
-    /// The zone of the instance itself.
+    /// Zone of the reporting instance.
     pub zone: u8,
-    /// Its Unix clock when it wrote this, in milliseconds.
+    /// Unix time at which the instance wrote the report, in milliseconds.
     pub clock_ms: u64,
-    /// The number of the load shift plans that it has in force; 0: none.
+    /// Number of the load shift plans that the instance uses; 0 if none.
     pub plan_number: u32,
-    /// The epoch of the map of shards of its own zone that it has applied; 0: none.
+    /// Epoch of the shard map of its own zone that the instance has applied; 0 if none.
     pub map_epoch: u32,
-    /// What it observes of sites that are not plainly serving.
+    /// Observations of sites, the most significant first.
     pub observations: Vec<SiteObservation>,
 }
 
-/// Why bytes are no report.
+/// Reason why bytes are not a valid report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SiteReportError {
-    /// Longer than a report may be.
+    /// The bytes are longer than the maximum length of a report.
     #[error(
-        "a site report of {0} bytes (64 at most): it was joined wrongly, or is no report; it is dropped"
+        "site report of {0} bytes exceeds the maximum of 64 bytes; it is corrupted or not a report, and is dropped"
     )]
     Length(usize),
-    /// Of another version.
+    /// The report has another version.
     #[error(
-        "a site report of version {0}: its instance runs another version; finish the upgrade of the fleet"
+        "site report has unsupported version {0}; its sender runs another release: finish the upgrade of the fleet"
     )]
     Version(u8),
-    /// Not in this encoding.
-    #[error("a site report that is cut off or not in this encoding; it is dropped")]
+    /// The report is truncated or not in this encoding.
+    #[error("site report is truncated or malformed; it is dropped")]
     Encoding,
 }
 
 impl SiteReport {
-    /// Its bytes; observations that do not fit are left out, the last first.
+    /// Encodes the report; observations that do not fit are omitted, the last first.
     ///
     /// # Panics
     ///
@@ -79,11 +79,11 @@
         }
     }
 
-    /// Reads a report; any bytes are read without a panic.
+    /// Decodes a report without panicking on any input.
     ///
     /// # Errors
     ///
-    /// [`SiteReportError`] where the bytes are too long, of another version, or cut off.
+    /// [`SiteReportError`] if the bytes are too long, of another version, or truncated.
     pub fn decode(bytes: &[u8]) -> Result<SiteReport, SiteReportError> {
         if bytes.len() > MAX_BYTES {
             return Err(SiteReportError::Length(bytes.len()));
