--- a/src/failover/load_shift/error.rs
+++ b/src/failover/load_shift/error.rs
@@ -1,61 +1,61 @@
-//! Why there are no plans for the loss of sites.
+//! Errors of making plans for the loss of sites.
 
 use crate::routing::events::Id;
 use std::fmt;
 
-/// Why there are no plans.
+/// Reason why plans cannot be made.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// Nothing that load can go to.
-    #[error("site plans: none of {0} servers can take load; check the list and the weights of its servers")]
+    /// No server can take load.
+    #[error("site plans: none of {0} servers can take load; check the endpoint list and the weights of its servers")]
     NoTarget(usize),
-    /// More than plans can be made for.
-    #[error("site plans: {count} {what}, and plans are made for at most {most}; join small ones or leave site_plan() out")]
+    /// An input list is longer than its limit.
+    #[error("site plans: {count} {what} exceed the limit of {most}; merge small ones or remove site_plan() from the settings")]
     TooMany {
-        /// Of what.
+        /// Kind of the input.
         what: Counted,
-        /// How many there are.
+        /// Number of entries.
         count: usize,
-        /// How many there may be.
+        /// Maximum number of entries.
         most: usize,
     },
-    /// A figure that can't be.
+    /// A value is out of range.
     #[error(
-        "site plans: {what} {at} is {value}, not from 0 to {most}; correct it in the settings or the list"
+        "site plans: {what} {at} is {value}, not between 0 and {most}; correct it in the settings or the endpoint list"
     )]
     Figure {
-        /// Of what.
+        /// Kind of the input.
         what: Figure,
-        /// Its place.
+        /// Index of the value.
         at: usize,
-        /// What it is.
+        /// The value.
         value: f64,
-        /// What it may be at most.
+        /// Maximum value.
         most: f64,
     },
-    /// Lists that don't fit each other.
-    #[error("site plans: {what} has {count} entries for {most}; settings and forecast are not of one fleet, wait for the next")]
+    /// The lengths of two lists do not match.
+    #[error("site plans: {what} has {count} entries instead of {most}; settings and forecast do not match, wait for the next forecast")]
     Shape {
-        /// Which list.
+        /// The list.
         what: InputList,
-        /// How many entries it has.
+        /// Number of its entries.
         count: usize,
-        /// How many it should have.
+        /// Expected or maximum number of entries.
         most: usize,
     },
-    /// A server named twice.
-    #[error("site plans: server {0} is named twice; correct the source of the list")]
+    /// The endpoint list names a server twice.
+    #[error("site plans: server {0} is listed twice; correct the source of the endpoint list")]
     DuplicateServer(Id),
 }
 
-/// What plans are made for a limited number of.
+/// Inputs whose number is limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counted {
     /// Zones.
     Zones,
-    /// Servers that load can go to.
+    /// Servers that can take load.
     Servers,
-    /// Classes of requests.
+    /// Request classes.
     Classes,
 }
 
@@ -69,26 +69,26 @@
     }
 }
 
-/// A figure of the inputs.
+/// A numeric input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Figure {
-    /// A server's capacity.
+    /// Capacity of a server.
     Capacity,
-    /// A server's price.
+    /// Price of a server.
     Price,
-    /// A server's zone.
+    /// Zone of a server.
     Zone,
-    /// What a zone's link can carry.
+    /// Capacity of a zone's link.
     Link,
-    /// The load of a class.
+    /// Load of a class.
     Load,
-    /// The part of a class's work that caches fill.
+    /// Miss ratio of a class in the caches.
     MissRatio,
-    /// The part of a parent's work of a class that it gets from the origin.
+    /// Fraction of a parent's work of a class that it fetches from the origin.
     ParentMissRatio,
-    /// The priority weight of a class.
+    /// Priority weight of a class.
     PriorityWeight,
-    /// The headroom (0) or the floor (1).
+    /// Headroom (index 0) or floor (index 1).
     HeadroomOrFloor,
 }
 
@@ -98,42 +98,42 @@
             Figure::Capacity => "the capacity of server",
             Figure::Price => "the price of server",
             Figure::Zone => "the zone of server",
-            Figure::Link => "the link of zone",
+            Figure::Link => "the link capacity of zone",
             Figure::Load => "the load of class",
-            Figure::MissRatio => "the missed part of class",
-            Figure::ParentMissRatio => "the part behind parents of class",
-            Figure::PriorityWeight => "the worth of class",
+            Figure::MissRatio => "the miss ratio of class",
+            Figure::ParentMissRatio => "the parent miss ratio of class",
+            Figure::PriorityWeight => "the priority weight of class",
             Figure::HeadroomOrFloor => "headroom or floor",
         })
     }
 }
 
-/// A list of the inputs.
+/// A list in the inputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputList {
-    /// Parts that caches fill, by class.
+    /// Miss ratios, by class.
     MissRatios,
     /// Priority weights, by class.
     PriorityWeights,
-    /// Links, by zone.
+    /// Link capacities, by zone.
     Links,
     /// Loads, by zone.
     Loads,
-    /// The load of one zone, by class.
+    /// Load of one zone, by class.
     ZoneLoad,
-    /// Parts that parents get from the origin, by class.
+    /// Miss ratios of parents, by class.
     ParentMissRatios,
 }
 
 impl fmt::Display for InputList {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            InputList::MissRatios => "the list of missed parts",
-            InputList::PriorityWeights => "the list of worths",
-            InputList::Links => "the list of links",
+            InputList::MissRatios => "the list of miss ratios",
+            InputList::PriorityWeights => "the list of priority weights",
+            InputList::Links => "the list of link capacities",
             InputList::Loads => "the list of loads",
             InputList::ZoneLoad => "the load of a zone",
-            InputList::ParentMissRatios => "the list of parts behind parents",
+            InputList::ParentMissRatios => "the list of parent miss ratios",
         })
     }
 }
--- a/src/failover/load_shift/estimate.rs
+++ b/src/failover/load_shift/estimate.rs
@@ -1,5 +1,6 @@
-//! The inputs of plans as estimated from what every instance has alike: the settings and the endpoint list. While no
-//! load is measured, a zone's is taken from its link. `proxy::failover` calls it before it makes plans.
+//! Estimated inputs of plans, derived from data that all instances share: the settings and the endpoint list. While no
+//! load is measured, a zone's load is estimated from its link. `proxy::failover` estimates the inputs before it makes
+//! plans.
 
 #[cfg(test)]
 mod tests;
@@ -8,15 +9,16 @@
 use crate::failover::{Settings as SiteSettings, Zone};
 use crate::routing::events::{Endpoint, EndpointState, Role, Settings};
 
-/// Part of a cacheable class's work that is filled, and part of a parent's that it gets from the origin: links are built
-/// for half of a location's work.
+/// Assumed miss ratio of a cacheable class in caches and in parents: links are dimensioned for half of a location's
+/// work.
 const MISS_RATIO: f64 = 0.5;
-/// Part of a zone's work that classes which run at the origin make up together.
-const AT_ORIGIN_PART: f64 = 0.05;
-/// Size of a server of which nothing is known, in transfers.
+/// Assumed fraction of a zone's work that belongs to uncacheable classes, in total.
+const UNCACHEABLE_FRACTION: f64 = 0.05;
+/// Minimum size of a server, in concurrent transfers.
 const MIN_SIZE: f64 = 2.0;
 
-/// The inputs for these servers. `priority_weight`: of one request of each class; one that is not set counts as 1.
+/// Estimates the inputs for these servers. `priority_weight` is the weight of one request, by class; a missing weight
+/// or one that is not above 0 counts as 1.
 pub fn estimate_inputs(
     settings: &Settings,
     priority_weight: &[f64],
@@ -67,7 +69,7 @@
             server: server.id.clone(),
             role: server.role,
             zone: server.zone,
-            // The origin's size is not known: it bears the misses of the parents.
+            // The origin's size is unknown; it is assumed to be able to serve the misses of the parents.
             capacity: match server.role {
                 Role::Origin => MISS_RATIO * parents.max(MIN_SIZE),
                 Role::Cache | Role::Parent => self.size(server),
@@ -77,7 +79,7 @@
         self.healthy().map(target).collect()
     }
 
-    /// The load of a zone, by class.
+    /// Estimates the load of a zone, by class.
     fn load(&self, zone: Zone) -> Vec<f64> {
         let classes = &self.settings.classes;
         if self.settings.routers_by_zone.get(zone).is_none_or(|&instances| instances == 0) {
@@ -86,19 +88,19 @@
         let load = self.site_settings.assumed_demand * self.zone_capacity(zone);
         let uncacheable = classes.iter().filter(|class| class.uncacheable).count();
         let cacheable = classes.len() - uncacheable;
-        let at_origin_part = if cacheable == 0 { 1.0 } else { AT_ORIGIN_PART };
-        let cached_part = 1.0 - if uncacheable == 0 { 0.0 } else { at_origin_part };
-        let part = |is_uncacheable: bool| {
+        let uncacheable_fraction = if cacheable == 0 { 1.0 } else { UNCACHEABLE_FRACTION };
+        let cacheable_fraction = 1.0 - if uncacheable == 0 { 0.0 } else { uncacheable_fraction };
+        let fraction = |is_uncacheable: bool| {
             if is_uncacheable {
-                at_origin_part / uncacheable as f64
+                uncacheable_fraction / uncacheable as f64
             } else {
-                cached_part / cacheable as f64
+                cacheable_fraction / cacheable as f64
             }
         };
-        classes.iter().map(|class| load * part(class.uncacheable)).collect()
+        classes.iter().map(|class| load * fraction(class.uncacheable)).collect()
     }
 
-    /// What a zone's link fills, or what its caches can do where it has no limit.
+    /// Returns the work that a zone's link can sustain, or the capacity of its caches if the link has no limit.
     fn zone_capacity(&self, zone: Zone) -> f64 {
         let link = self.link_capacity.get(zone).copied().unwrap_or(0.0);
         let by_link = link / MISS_RATIO;
@@ -110,22 +112,23 @@
     }
 }
 
-/// What a server can do, in transfers at full rate: as its weight says, or else estimated from the links.
+/// Returns the capacity of a server in concurrent transfers at full rate: its weight if weights are sizes, otherwise an
+/// estimate from the links.
 pub fn server_size(settings: &Settings, servers: &[Endpoint], server: &Endpoint) -> f64 {
     let weight = server.weight;
     if settings.weights_are_sizes && weight.is_finite() && weight > 0.0 {
         return weight.max(MIN_SIZE);
     }
-    let alike =
+    let same_role =
         servers.iter().filter(|other| other.state == EndpointState::Healthy && other.role == server.role);
     let rate_kb_s = match server.role {
         Role::Cache => {
             let link_kb_s = settings.zone_link_kb_s.get(server.zone).copied().unwrap_or(0.0);
-            let count = alike.filter(|other| other.zone == server.zone).count();
+            let count = same_role.filter(|other| other.zone == server.zone).count();
             link_kb_s / MISS_RATIO / count.max(1) as f64
         }
         Role::Parent | Role::Origin => {
-            let count = alike.count();
+            let count = same_role.count();
             settings.zone_link_kb_s.iter().sum::<f64>() / count.saturating_sub(1).max(1) as f64
         }
     };
--- a/src/failover/load_shift/estimate/tests.rs
+++ b/src/failover/load_shift/estimate/tests.rs
@@ -1,15 +1,15 @@
-//! Loads and capacities as estimated from the links.
+//! Tests of the loads and capacities that are estimated from the links.
 
 use super::*;
 use crate::failover::load_shift::Plans;
 use crate::routing::events::{Class, DeduplicationScope, Idempotency};
 
-fn member(id: &str, role: Role, zone: usize) -> Endpoint {
+fn server(id: &str, role: Role, zone: usize) -> Endpoint {
     Endpoint { id: id.into(), role, zone, ..Endpoint::default() }
 }
 
 #[test]
-fn unknown_sizes_and_loads_follow_the_links_and_plans_can_be_made_from_them() {
+fn unknown_sizes_and_loads_are_estimated_from_the_links_and_plans_can_be_made_from_them() {
     let class = |uncacheable| Class {
         fresh_for: 0,
         grace: 0,
@@ -29,9 +29,9 @@
         may_bypass_caches: true,
         ..Settings::default()
     };
-    let mut servers: Vec<Endpoint> = (0..2).map(|n| member(&format!("p{n}"), Role::Parent, 0)).collect();
-    servers.extend((0..4).map(|n| member(&format!("c{n}"), Role::Cache, 1 + n % 2)));
-    servers.push(member("o", Role::Origin, 0));
+    let mut servers: Vec<Endpoint> = (0..2).map(|n| server(&format!("p{n}"), Role::Parent, 0)).collect();
+    servers.extend((0..4).map(|n| server(&format!("c{n}"), Role::Cache, 1 + n % 2)));
+    servers.push(server("o", Role::Origin, 0));
     let inputs = estimate_inputs(&settings, &[2.0], &servers, &SiteSettings::default());
     let capacity = |id: &str| inputs.targets.iter().find(|t| &*t.server == id).unwrap().capacity;
     assert_eq!([capacity("c0"), capacity("c1"), capacity("p0"), capacity("o")], [20.0, 10.0, 30.0, 30.0]);
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -1,67 +1,67 @@
-//! All that plans are made from, checked, in the one order that all instances have.
+//! Inputs of the plans, their validation, and the order of targets that all instances agree on.
 
 use super::error::{Counted, Figure, InputList, PlanError};
 use crate::failover::{Settings, Zone};
 use crate::routing::events::{Class, Id, Idempotency, Role};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most zones that plans are made for.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 128;
-/// Most targets.
+/// Maximum number of targets.
 pub const MAX_TARGETS: usize = 4_096;
-/// Most classes.
+/// Maximum number of classes.
 pub const MAX_CLASSES: usize = 32;
-/// Largest figure of a load, capacity, link, price or priority weight.
+/// Maximum value of a load, capacity, link, price or priority weight.
 pub const MAX_FIGURE: f64 = 1e9;
 
-/// A server that load can go to.
+/// A server that plans can send load to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Its name.
+    /// Name of the server.
     pub server: Id,
-    /// What it is.
+    /// Role of the server.
     pub role: Role,
-    /// Its zone. The origin is lost with no zone.
+    /// Zone of the server. The origin is not lost with its zone.
     pub zone: Zone,
-    /// Transfers at full rate that it can do; 0: it takes nothing.
+    /// Number of concurrent transfers at full rate that the server can do; 0 if it takes no load.
     pub capacity: f64,
-    /// Price of one unit of work there, in the measure of [`Inputs::priority_weight`].
+    /// Price of one unit of work at this server, in the unit of [`Inputs::priority_weight`].
     pub price: f64,
 }
 
-/// All that plans are made from. Work is counted in transfers at full rate.
+/// All inputs of the plans. The unit of work is a transfer at full rate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Inputs {
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// The servers, in any order.
+    /// Servers, in any order.
     pub targets: Vec<Target>,
-    /// What each zone's link in can carry; 0 or absent: it has no limit.
+    /// Capacity of each zone's inbound link; 0 or absent if it has no limit.
     pub link_capacity: Vec<f64>,
-    /// Work wanted, by zone and class; absent: none.
+    /// Requested work, by zone and class; absent entries count as 0.
     pub load: Vec<Vec<f64>>,
-    /// Part of each class's work that caches have to fill while they stand, 0 to 1.
+    /// Fraction of each class's work that misses in the caches, 0 to 1.
     pub miss_ratio: Vec<f64>,
-    /// Part of a parent's work of each class that it gets from the origin, 0 to 1; absent: none.
+    /// Fraction of a parent's work of each class that it fetches from the origin, 0 to 1; absent entries count as 0.
     pub parent_miss_ratio: Vec<f64>,
-    /// Weight of one unit of work, by class.
+    /// Priority weight of one unit of work, by class.
     pub priority_weight: Vec<f64>,
-    /// The classes, by number.
+    /// Request classes, by number.
     pub classes: Vec<Class>,
-    /// Headroom, floor and whether load may go to caches of other zones.
+    /// Settings of the plans; headroom, floor and `cross_zone_caches` are used.
     pub settings: Settings,
-    /// Requests may go straight to a parent or the origin.
+    /// Whether requests may go directly to a parent or the origin.
     pub may_bypass_caches: bool,
 }
 
 impl Inputs {
-    /// Whether a class is served by the origin alone, and rejected after all that caches can serve.
+    /// Returns whether only the origin can serve a class. Such a class is rejected after all that caches can serve.
     pub fn runs_at_origin(&self, class: usize) -> bool {
         let class = self.classes.get(class);
         class.is_some_and(|class| class.uncacheable || class.idempotency == Idempotency::NotIdempotent)
     }
 
-    /// Checks all figures and brings the targets into the order that all instances have.
+    /// Validates all inputs and sorts the targets by server, so that all instances have the same order.
     pub(super) fn checked(mut self) -> Result<Inputs, PlanError> {
         self.check_counts()?;
         self.check_lengths()?;
@@ -128,11 +128,11 @@
         check_range(Figure::MissRatio, self.miss_ratio.iter().copied(), 1.0)?;
         check_range(Figure::ParentMissRatio, self.parent_miss_ratio.iter().copied(), 1.0)?;
         check_range(Figure::PriorityWeight, self.priority_weight.iter().copied(), MAX_FIGURE)?;
-        let parts = [self.settings.headroom, self.settings.floor];
-        check_range(Figure::HeadroomOrFloor, parts.into_iter(), 1.0)
+        let fractions = [self.settings.headroom, self.settings.floor];
+        check_range(Figure::HeadroomOrFloor, fractions.into_iter(), 1.0)
     }
 
-    /// The number of checked inputs, which all instances with equal inputs have; never 0.
+    /// Returns the number of validated inputs, which is the same on all instances with equal inputs and never 0.
     pub(super) fn number(&self) -> u32 {
         let mut bytes = Vec::new();
         let mut put = |value: u64| bytes.extend_from_slice(&value.to_le_bytes());
@@ -155,7 +155,7 @@
     }
 }
 
-/// The bits of a figure; adding 0 makes one zero out of both.
+/// Returns the bits of a value; adding 0 maps negative zero to positive zero.
 fn bits(value: f64) -> u64 {
     (value + 0.0).to_bits()
 }
@@ -167,7 +167,7 @@
     }
 }
 
-/// A hash of 32 bits that is never 0, which stands for "none" in reports.
+/// Returns a 32-bit hash that is never 0, because 0 stands for "none" in reports.
 pub(super) fn nonzero_hash(bytes: &[u8]) -> u32 {
     let hash = xxh3_64(bytes);
     ((hash ^ (hash >> 32)) as u32).max(1)
