--- a/src/failover/load_shift/allocation.rs
+++ b/src/failover/load_shift/allocation.rs
@@ -1,66 +1,68 @@
-//! The account of a plan that is being made: how much of each demand takes which route, and the capacity left. By it
-//! nothing uses more capacity than there is.
+//! The allocation of work to routes while a plan is being made: how much of each demand uses which route, and the
+//! remaining capacity. It ensures that no capacity is exceeded.
 
 use super::grid::{round_down, GRID};
 use super::inputs::{nonzero_hash, Inputs};
 use super::model::Model;
-use super::plan::{Flow, Plan, SERVED_WHOLE};
+use super::plan::{Flow, Plan, FULLY_SERVED};
 
 pub(super) struct Allocation<'a, 'b> {
     pub model: &'b Model<'a>,
-    /// What is left, in the order of [`Model::capacities`].
-    left: Vec<f64>,
-    /// By demand and route.
-    placed: Vec<Vec<f64>>,
+    /// Remaining capacity, in the order of [`Model::capacities`].
+    remaining: Vec<f64>,
+    /// Allocated work, by demand and route.
+    allocated: Vec<Vec<f64>>,
 }
 
 impl<'a, 'b> Allocation<'a, 'b> {
     pub(super) fn new(model: &'b Model<'a>) -> Self {
-        let placed = model.demands.iter().map(|demand| vec![0.0; demand.routes.len()]).collect();
-        Allocation { model, left: model.capacities.clone(), placed }
+        let allocated = model.demands.iter().map(|demand| vec![0.0; demand.routes.len()]).collect();
+        Allocation { model, remaining: model.capacities.clone(), allocated }
     }
 
-    /// What of a demand is served.
+    /// Returns the work of a demand that is served.
     pub(super) fn served(&self, demand: usize) -> f64 {
-        self.placed[demand].iter().sum()
+        self.allocated[demand].iter().sum()
     }
 
-    /// Puts work of a demand on a route, as much as there is capacity for and as is still wanted; how much that was.
-    pub(super) fn place(&mut self, demand: usize, route: usize, work: f64) -> f64 {
+    /// Allocates up to `work` of a demand to a route, limited by the remaining capacity and the unserved work of the
+    /// demand. Returns the allocated work.
+    pub(super) fn allocate(&mut self, demand: usize, route: usize, work: f64) -> f64 {
         let uses = &self.model.demands[demand].routes[route].uses;
         let wanted = work.min(self.model.demands[demand].amount - self.served(demand));
-        let fits = uses.iter().map(|used| self.left[used.capacity] / used.per_unit).fold(wanted, f64::min);
+        let fits =
+            uses.iter().map(|used| self.remaining[used.capacity] / used.per_unit).fold(wanted, f64::min);
         let work = round_down(fits);
         for used in uses {
-            self.left[used.capacity] -= work * used.per_unit;
+            self.remaining[used.capacity] -= work * used.per_unit;
         }
-        self.placed[demand][route] += work;
+        self.allocated[demand][route] += work;
         work
     }
 
-    /// Puts work of a demand on its routes, the cheapest first.
-    pub(super) fn place_by_price(&mut self, demand: usize, work: f64) {
-        self.place_below(demand, work, None);
+    /// Allocates work of a demand to its routes, the cheapest first.
+    pub(super) fn allocate_by_price(&mut self, demand: usize, work: f64) {
+        self.allocate_below(demand, work, None);
     }
 
-    /// As [`Allocation::place_by_price`], but only on routes that cost less than the work's priority weight.
-    pub(super) fn place_profitably(&mut self, demand: usize, work: f64) {
+    /// As [`Allocation::allocate_by_price`], but only to routes that cost less than the work's priority weight.
+    pub(super) fn allocate_profitably(&mut self, demand: usize, work: f64) {
         let class = self.model.demands[demand].class;
-        self.place_below(demand, work, Some(self.model.inputs.priority_weight[class]));
+        self.allocate_below(demand, work, Some(self.model.inputs.priority_weight[class]));
     }
 
-    fn place_below(&mut self, demand: usize, work: f64, price_limit: Option<f64>) {
+    fn allocate_below(&mut self, demand: usize, work: f64, price_limit: Option<f64>) {
         let routes = &self.model.demands[demand].routes;
         let is_allowed = |&route: &usize| price_limit.is_none_or(|limit| routes[route].price < limit);
-        let mut cheapest: Vec<usize> = (0..routes.len()).filter(is_allowed).collect();
-        cheapest.sort_by(|&a, &b| routes[a].price.total_cmp(&routes[b].price).then(a.cmp(&b)));
-        let mut left = work;
-        for route in cheapest {
-            left -= self.place(demand, route, left);
+        let mut by_price: Vec<usize> = (0..routes.len()).filter(is_allowed).collect();
+        by_price.sort_by(|&a, &b| routes[a].price.total_cmp(&routes[b].price).then(a.cmp(&b)));
+        let mut unallocated = work;
+        for route in by_price {
+            unallocated -= self.allocate(demand, route, unallocated);
         }
     }
 
-    /// The plan that this is; `inputs_number` is that of the inputs.
+    /// Converts the allocation into a plan; `inputs_number` is the number of the inputs.
     pub(super) fn into_plan(self, inputs_number: u32) -> Plan {
         let model = self.model;
         let used = self.used_capacities();
@@ -82,13 +84,13 @@
         }
     }
 
-    /// Capacity that is used. Of infinite capacities no figure comes out, which counts as 0.
+    /// Returns the used capacities. An infinite capacity gives NaN, which counts as 0.
     fn used_capacities(&self) -> Vec<f64> {
-        let capacities = self.model.capacities.iter().zip(&self.left);
-        capacities.map(|(all, left)| (all - left).max(0.0)).collect()
+        let capacities = self.model.capacities.iter().zip(&self.remaining);
+        capacities.map(|(all, remaining)| (all - remaining).max(0.0)).collect()
     }
 
-    /// By zone and class.
+    /// Returns the served load, by zone and class.
     fn served_load(&self) -> Vec<Vec<f64>> {
         let inputs = self.model.inputs;
         let mut served = vec![vec![0.0; inputs.classes.len()]; inputs.zones];
@@ -101,16 +103,16 @@
     fn keeps_floors(&self) -> bool {
         let floor = self.model.inputs.settings.floor;
         self.model.demands.iter().enumerate().all(|(number, demand)| {
-            let least = demand.amount * floor * SERVED_WHOLE - GRID;
+            let least = demand.amount * floor * FULLY_SERVED - GRID;
             self.served(number) >= least
         })
     }
 
     fn gain(&self) -> f64 {
         let mut gain = 0.0;
-        for (demand, placed) in self.model.demands.iter().zip(&self.placed) {
+        for (demand, allocated) in self.model.demands.iter().zip(&self.allocated) {
             let weight = self.model.inputs.priority_weight[demand.class];
-            for (route, &work) in demand.routes.iter().zip(placed).filter(|(_, &work)| work > 0.0) {
+            for (route, &work) in demand.routes.iter().zip(allocated).filter(|(_, &work)| work > 0.0) {
                 gain += work * (weight - route.price);
             }
         }
@@ -120,8 +122,8 @@
     fn flows(&self) -> Vec<Vec<Vec<Flow>>> {
         let inputs = self.model.inputs;
         let mut flows = vec![vec![Vec::new(); inputs.classes.len()]; inputs.zones];
-        for (demand, placed) in self.model.demands.iter().zip(&self.placed) {
-            for (route, &work) in demand.routes.iter().zip(placed).filter(|(_, &work)| work > 0.0) {
+        for (demand, allocated) in self.model.demands.iter().zip(&self.allocated) {
+            for (route, &work) in demand.routes.iter().zip(allocated).filter(|(_, &work)| work > 0.0) {
                 let filled = work * route.filled;
                 let flow = Flow { cache: route.cache, source: route.source, work, filled };
                 flows[demand.zone][demand.class].push(flow);
@@ -131,7 +133,7 @@
     }
 }
 
-/// Part of the load that is served, by zone and class.
+/// Returns the fraction of the load that is served, by zone and class.
 fn admitted_parts(inputs: &Inputs, served: &[Vec<f64>]) -> Vec<Vec<f64>> {
     let part = |(&load, &served): (&f64, &f64)| {
         let part: f64 = if load < GRID { 1.0 } else { served / load };
--- a/src/failover/load_shift/constraints.rs
+++ b/src/failover/load_shift/constraints.rs
@@ -1,36 +1,37 @@
-//! What one instance does by the plans: the routing constraints for its router.
+//! The routing constraints that one instance derives from the plans.
 //!
-//! Each instance takes its share over the most instances that may exist, so the limits of all of them together are
-//! within what a target can do, whatever datagrams are lost and whichever instances are alive. While a site recovers by
-//! a factor f the load is shifted as the plan says for a part 1 - f, and as without a loss for f: both keep to all
-//! limits, and so does every mixture of the two.
+//! Each instance takes an equal share based on the maximum number of instances that may exist. So the sum of all their
+//! limits is within the capacity of a target, whichever datagrams are lost and whichever instances are alive. While a
+//! site recovers with factor f, its load is routed by the plan for its loss for a fraction 1 - f, and by the plan
+//! without a loss for f: both plans respect all limits, and so does every mixture of the two.
 
-use super::plan::{Plan, SERVED_WHOLE};
+use super::plan::{Plan, FULLY_SERVED};
 use super::{Plans, Target};
 use crate::failover::Zone;
 use crate::routing::constraints::{Constraints, RateLimit};
 use crate::routing::events::{Id, Micros, Role};
 use std::sync::Arc;
 
-/// What constraints are made for.
+/// Parameters of the constraints of one instance.
 #[derive(Clone, Debug)]
 pub struct ConstraintQuery<'a> {
-    /// The zone of the instance.
+    /// Zone of the instance.
     pub zone: Zone,
-    /// Most instances of that zone that may exist; 0 counts as 1.
+    /// Maximum number of instances of this zone; 0 counts as 1.
     pub zone_instances: u32,
-    /// Most instances of all zones: the sum of what the instances of each zone take for `zone_instances`, or more.
+    /// Maximum number of instances of all zones: at least the sum of `zone_instances` over all zones.
     pub all_instances: u32,
-    /// Part of its capacity that each zone may be sent: 0 unreachable, 1 serving, between them recovering. Absent: 1.
+    /// Fraction of its capacity that each zone may be sent: 0 if unreachable, 1 if serving, between them if recovering.
+    /// Absent entries count as 1.
     pub site_factors: &'a [f64],
-    /// What all instances together send one server of a lost site, to see whether it is back: transfers at full rate.
+    /// Rate at which all instances together probe one server of a lost site, in transfers at full rate.
     pub probe_rate: f64,
-    /// Over how long limits are kept, in microseconds.
+    /// Time window over which limits apply, in microseconds.
     pub window: Micros,
-    /// After how long the site is expected back, in microseconds; 0: unknown.
+    /// Time until the site is expected to be back, in microseconds; 0 if unknown.
     pub expected_return: Micros,
-    /// The instance is new and a peer may yet report a site that recovers: the caches of its zone get no more than this
-    /// part of what they can do. `None`: it has heard from all.
+    /// Maximum fraction of their capacity that the caches of this zone get while the instance has just started and a peer
+    /// may still report a recovering site; `None` afterwards.
     pub learning_share: Option<f64>,
 }
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Whether a target stands at a site that is not back yet. The origin is lost with no zone.
+    /// Returns whether a target is at a site that is lost or recovering. The origin is not lost with its zone.
     fn is_lost(&self, target: &Target) -> bool {
         target.role != Role::Origin && self.factor(target.zone) < 1.0
     }
@@ -58,35 +59,35 @@
     }
 }
 
-/// A plan, and its part of a mixture.
+/// A plan and its weight in a mixture.
 struct WeightedPlan {
     weight: f64,
     plan: Arc<Plan>,
 }
 
-/// The work of a mixture of plans, by target.
+/// A mixture of plans, and its work by target.
 struct MixedPlan {
     plans: Vec<WeightedPlan>,
-    /// What the asking zone sends.
-    own: Vec<f64>,
-    /// What all zones send.
-    all: Vec<f64>,
+    /// Work that the zone of the query sends.
+    own_zone_work: Vec<f64>,
+    /// Work that all zones send.
+    total_work: Vec<f64>,
 }
 
 impl MixedPlan {
     fn new(plans: &Plans, query: &ConstraintQuery) -> MixedPlan {
         let mixed = weighted_plans(plans, query);
         let targets = plans.targets().len();
-        let mut own = vec![0.0; targets];
-        let mut all = vec![0.0; targets];
+        let mut own_zone_work = vec![0.0; targets];
+        let mut total_work = vec![0.0; targets];
         for WeightedPlan { weight, plan } in &mixed {
-            all.iter_mut().zip(&plan.work).for_each(|(sum, work)| *sum += weight * work);
+            total_work.iter_mut().zip(&plan.work).for_each(|(sum, work)| *sum += weight * work);
             for class in 0..plans.inputs.classes.len() {
                 let sent = plan.sent(query.zone, class);
-                sent.into_iter().for_each(|part| own[part.target] += weight * part.work);
+                sent.into_iter().for_each(|part| own_zone_work[part.target] += weight * part.work);
             }
         }
-        MixedPlan { plans: mixed, own, all }
+        MixedPlan { plans: mixed, own_zone_work, total_work }
     }
 
     fn sum(&self, figure: impl Fn(&Plan) -> f64) -> f64 {
@@ -98,7 +99,8 @@
     }
 }
 
-/// A zone is lost for the part above its factor: between two neighboring factors one set of zones is lost.
+/// Returns the plans of the mixture. A zone counts as lost for the fraction above its factor, so each interval between
+/// two neighboring factors has one set of lost zones, whose plan is weighted with the length of the interval.
 fn weighted_plans(plans: &Plans, query: &ConstraintQuery) -> Vec<WeightedPlan> {
     let factors: Vec<f64> = (0..plans.inputs.zones).map(|zone| query.factor(zone)).collect();
     let mut levels: Vec<f64> = factors.iter().copied().chain([0.0, 1.0]).collect();
@@ -113,27 +115,29 @@
     levels.windows(2).map(between).collect()
 }
 
-/// The parts of what parents and the origin have to spare that are given out.
+/// Fractions of the spare capacity of parents and of the origin that instances may use.
 ///
-/// What parents are sent beyond the plan they partly get from the origin. That much of the origin's capacity, half of
-/// it at most, is kept for them, and they are given no more than it bears.
-struct SpareParts {
+/// Parents fetch a fraction of the work that they get beyond the plan from the origin. This much of the origin's spare
+/// capacity, at most half of it, is reserved for parents, and their own fraction is limited to what the reserve can
+/// serve.
+struct SpareFractions {
     parents: f64,
     origin: f64,
 }
 
-impl SpareParts {
+impl SpareFractions {
     fn new(from_origin: f64, spare_of_origin: f64) -> Self {
-        let kept = from_origin.min(spare_of_origin / 2.0);
-        SpareParts {
-            parents: if from_origin > 0.0 { kept / from_origin } else { 1.0 },
-            origin: if spare_of_origin > 0.0 { 1.0 - kept / spare_of_origin } else { 0.0 },
+        let reserved = from_origin.min(spare_of_origin / 2.0);
+        SpareFractions {
+            parents: if from_origin > 0.0 { reserved / from_origin } else { 1.0 },
+            origin: if spare_of_origin > 0.0 { 1.0 - reserved / spare_of_origin } else { 0.0 },
         }
     }
 }
 
 impl Plans {
-    /// What an instance does while some zones are lost or recovering. Without any such zone there are no constraints.
+    /// Returns the constraints of an instance while some zones are lost or recovering. Without such a zone the result has
+    /// at most the limits for an instance that has just started.
     pub fn constraints(&self, query: &ConstraintQuery) -> Constraints {
         if (0..self.inputs.zones).all(|zone| query.factor(zone) >= 1.0) {
             let rate_limits = self.learning_limits(query, &[]);
@@ -143,8 +147,8 @@
         let mixed = MixedPlan::new(self, query);
         let mut rate_limits = self.rate_limits(query, &mixed);
         rate_limits.extend(self.learning_limits(query, &rate_limits));
-        let least_pause = query.expected_return / 4;
-        let pause = (least_pause, query.expected_return - least_pause);
+        let min_delay = query.expected_return / 4;
+        let retry_delay = (min_delay, query.expected_return - min_delay);
         let is_own_zone_lost = query.factor(query.zone) < 1.0;
         Constraints {
             window: query.window,
@@ -154,16 +158,16 @@
                 .collect(),
             bypass_caches: is_own_zone_lost,
             force_stale: mixed.any(Plan::rejects) || is_own_zone_lost,
-            retry_after: if mixed.any(|plan| plan.rejects_in(query.zone)) { pause } else { (0, 0) },
+            retry_after: if mixed.any(|plan| plan.rejects_in(query.zone)) { retry_delay } else { (0, 0) },
             cross_zone_caches: self.cross_zone_caches(query, &mixed),
             ..Constraints::default()
         }
     }
 
-    /// What this instance may have filled of a class; `None`: all.
+    /// Returns the maximum fill rate of a class for this instance; `None` if it is not limited.
     fn fill_limit(&self, query: &ConstraintQuery, mixed: &MixedPlan, class: usize) -> Option<f64> {
         let rejects =
-            |plan: &Plan| plan.admitted.get(query.zone).is_some_and(|zone| zone[class] < SERVED_WHOLE);
+            |plan: &Plan| plan.admitted.get(query.zone).is_some_and(|zone| zone[class] < FULLY_SERVED);
         if !mixed.any(rejects) || self.inputs.runs_at_origin(class) {
             return None;
         }
@@ -171,14 +175,15 @@
     }
 
     fn cross_zone_caches(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> Vec<Id> {
-        let targets = self.targets().iter().zip(&mixed.own);
-        let visited = targets
-            .filter(|(target, &own)| target.role == Role::Cache && target.zone != query.zone && own > 0.0);
-        visited.map(|(target, _)| target.server.clone()).collect()
+        let targets = self.targets().iter().zip(&mixed.own_zone_work);
+        let used = targets
+            .filter(|(target, &work)| target.role == Role::Cache && target.zone != query.zone && work > 0.0);
+        used.map(|(target, _)| target.server.clone()).collect()
     }
 
-    /// Limits of a new instance for caches that have none. When most instances have started anew, none may go beyond
-    /// the step that a site was at, which a new one does not know until it has heard from the others.
+    /// Returns limits for the caches without one while this instance has just started. After most instances have
+    /// restarted, none may send a site more than its recovery step allows, which a new instance knows only after the
+    /// reports of its peers.
     fn learning_limits(&self, query: &ConstraintQuery, limits: &[RateLimit]) -> Vec<RateLimit> {
         let Some(share) = query.learning_share else { return Vec::new() };
         let is_own = |target: &&Target| target.role == Role::Cache && target.zone == query.zone;
@@ -191,36 +196,37 @@
     }
 
     fn rate_limits(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> Vec<RateLimit> {
-        let parts = self.spare_parts(query, mixed);
+        let fractions = self.spare_fractions(query, mixed);
         let mut limits = Vec::new();
         for (number, target) in self.targets().iter().enumerate() {
             let rate = if query.is_lost(target) {
                 self.lost_target_rate(query, target)
             } else {
-                self.standing_target_rate(query, mixed, &parts, number)
+                self.serving_target_rate(query, mixed, &fractions, number)
             };
             limits.extend(rate.map(|rate| RateLimit { endpoint: target.server.clone(), rate }));
         }
         limits
     }
 
-    /// Capacity of a target that the plans leave.
+    /// Returns the capacity of a target that the plans do not use.
     fn spare(&self, mixed: &MixedPlan, target: usize) -> f64 {
-        (self.targets()[target].capacity * self.inputs.settings.headroom - mixed.all[target]).max(0.0)
+        (self.targets()[target].capacity * self.inputs.settings.headroom - mixed.total_work[target]).max(0.0)
     }
 
-    fn spare_parts(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> SpareParts {
+    fn spare_fractions(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> SpareFractions {
         let targets = self.targets();
         let spare_of = |role: Role| -> f64 {
-            let standing = (0..targets.len())
+            let serving = (0..targets.len())
                 .filter(|&number| targets[number].role == role && !query.is_lost(&targets[number]));
-            standing.map(|number| self.spare(mixed, number)).sum::<f64>()
+            serving.map(|number| self.spare(mixed, number)).sum::<f64>()
         };
         let miss_ratio = self.inputs.parent_miss_ratio.iter().copied().fold(0.0, f64::max);
-        SpareParts::new(miss_ratio * spare_of(Role::Parent), spare_of(Role::Origin))
+        SpareFractions::new(miss_ratio * spare_of(Role::Parent), spare_of(Role::Origin))
     }
 
-    /// Probes, or the part at which the site recovers.
+    /// Returns this instance's rate for a target at a lost or recovering site: the share of the site's recovery, at least
+    /// the probe rate.
     fn lost_target_rate(&self, query: &ConstraintQuery, target: &Target) -> Option<f64> {
         let sent_by_all = target.role == Role::Parent || self.inputs.settings.cross_zone_caches;
         if !sent_by_all && target.zone != query.zone {
@@ -231,27 +237,29 @@
         Some(recovered.max(query.probe_rate).min(target.capacity) / senders)
     }
 
-    fn standing_target_rate(
+    fn serving_target_rate(
         &self,
         query: &ConstraintQuery,
         mixed: &MixedPlan,
-        parts: &SpareParts,
+        fractions: &SpareFractions,
         number: usize,
     ) -> Option<f64> {
         let target = &self.targets()[number];
-        let own = mixed.own[number];
+        let own_work = mixed.own_zone_work[number];
         let spare = self.spare(mixed, number);
         let is_own_zone = target.zone == query.zone;
         match target.role {
             Role::Parent => {
-                Some(own / query.zone_instances() + spare * parts.parents / query.all_instances())
+                Some(own_work / query.zone_instances() + spare * fractions.parents / query.all_instances())
             }
-            Role::Origin => Some(own / query.zone_instances() + spare * parts.origin / query.all_instances()),
-            // What is left of a cache is its own zone's, whose forecast may be too low.
-            Role::Cache if is_own_zone && mixed.all[number] > own => {
-                Some((own + spare) / query.zone_instances())
+            Role::Origin => {
+                Some(own_work / query.zone_instances() + spare * fractions.origin / query.all_instances())
             }
-            Role::Cache if !is_own_zone && own > 0.0 => Some(own / query.zone_instances()),
+            // The spare capacity of a cache is left to its own zone, whose forecast may be too low.
+            Role::Cache if is_own_zone && mixed.total_work[number] > own_work => {
+                Some((own_work + spare) / query.zone_instances())
+            }
+            Role::Cache if !is_own_zone && own_work > 0.0 => Some(own_work / query.zone_instances()),
             Role::Cache => None,
         }
     }
--- a/src/failover/load_shift/mod.rs
+++ b/src/failover/load_shift/mod.rs
@@ -1,17 +1,18 @@
-//! Where the load of a lost site goes: one plan for the loss of each zone, made ahead, and what an instance does by it.
+//! Redistribution of the load of lost sites: a precomputed plan for the loss of each zone, and the routing constraints
+//! that an instance derives from it.
 //!
-//! A plan says for every zone and class how much of its load is served by which targets; what fits no plan is
-//! rejected. It is the answer of a linear program (`solver`): floors first, then what only the origin can run, then
-//! the most priority weight less price, within the capacity of targets (times `Settings::headroom`) and the links.
-//! Where not even the floors have capacity, what there is is shared out in the order of rejection (`greedy`).
+//! A plan states for every zone and class how much of its load is served by which targets; the rest is rejected. It is
+//! the solution of a linear program (`solver`): first the floors, then the work that only the origin can do, then the
+//! largest total of priority weight less price, within the capacity of targets (times `Settings::headroom`) and of the
+//! links. If the capacity is not enough for the floors, it is divided in the order of rejection (`greedy`).
 //!
-//! `proxy::failover` owns the [`Plans`]. It makes them anew whenever settings, list or forecast change, one zone a step
-//! ([`PlanBuilder`]), never at the moment of loss. Instances with equal inputs have bit-equal plans, and report their
-//! number to each other.
+//! `proxy::failover` owns the [`Plans`]. It recomputes them whenever settings, endpoint list or forecast change, one
+//! plan per step ([`PlanBuilder`]), never at the moment of a loss. Instances with equal inputs have bit-identical
+//! plans, and report the number of their plans to each other.
 //!
-//! The loss of two zones at once has a program of its own, made ahead, where there are at most [`MAX_PAIRED_ZONES`]
-//! zones. Any other set is filled in the same way under the same limits, which takes no solver. So no target is above
-//! its limit whatever is lost.
+//! With at most [`MAX_PAIRED_ZONES`] zones, the loss of each two zones at once has its own precomputed plan. For any
+//! other set of lost zones the greedy algorithm, which needs no solver, makes a plan under the same limits when it is
+//! needed. So no target exceeds its limit whichever zones are lost.
 //!
 //! ```text
 //! estimate -> inputs <- rejection_order <- model <- allocation <- greedy <- solver <- plans <- constraints
--- a/src/failover/load_shift/model.rs
+++ b/src/failover/load_shift/model.rs
@@ -1,4 +1,4 @@
-//! What a plan decides on: demands, the routes that each can take, and the capacity that the routes use.
+//! The optimization model of a plan: demands, the routes that each can take, and the capacity that the routes use.
 
 use super::grid::{round_down, GRID};
 use super::inputs::Inputs;
@@ -7,14 +7,15 @@
 use crate::failover::Zone;
 use crate::routing::events::{Idempotency, Role};
 
-/// Part of a limit that is planned with, so that rounding in sums never passes it.
-const PLANNED_PART: f64 = 1.0 - 1e-9;
-/// Smaller parts behind parents count as this much, to keep the program well scaled.
+/// Fraction of each limit that plans may use, so that rounding errors in sums never exceed the limit.
+const USABLE_FRACTION: f64 = 1.0 - 1e-9;
+/// Minimum use of the origin's capacity by one unit of a parent's work that needs the origin at all; keeps the linear
+/// program well scaled.
 const MIN_PARENT_MISS_RATIO: f64 = 1e-4;
-/// Most capacities that one route uses: cache, link, source, link of the cache, origin.
+/// Maximum number of capacities that one route uses: cache, link, source, link of the cache, origin.
 const MAX_USES: usize = 5;
 
-/// A part of the load that is treated alike.
+/// A part of a zone's load of one class whose units can all take the same routes.
 pub(super) struct Demand {
     pub zone: Zone,
     pub class: usize,
@@ -24,9 +25,9 @@
     pub routes: Vec<Route>,
 }
 
-/// Capacity that one unit of work uses.
+/// Capacity that one unit of work uses on a route.
 pub(super) struct Use {
-    /// Its place in [`Model::capacities`].
+    /// Index in [`Model::capacities`].
     pub capacity: usize,
     pub per_unit: f64,
 }
@@ -35,30 +36,31 @@
 pub(super) struct Route {
     pub cache: Option<usize>,
     pub source: Option<usize>,
-    /// Work of the source for one unit.
+    /// Work that the source does for one unit of work on the route.
     pub filled: f64,
     pub price: f64,
     pub uses: Vec<Use>,
 }
 
-/// What a plan for one set of lost zones decides on.
+/// The model for one set of lost zones.
 pub(super) struct Model<'a> {
     pub inputs: &'a Inputs,
     pub lost_zones: &'a [Zone],
     pub groups: Vec<Group>,
-    /// Of each group, then of each zone's link; infinite where there is no limit.
+    /// Capacity of each group, then of each zone's link; infinite if there is no limit.
     pub capacities: Vec<f64>,
-    /// From what is rejected last to what is rejected first.
+    /// Demands in order of admission, the one rejected last first.
     pub demands: Vec<Demand>,
 }
 
 impl<'a> Model<'a> {
     pub(super) fn new(inputs: &'a Inputs, lost_zones: &'a [Zone]) -> Model<'a> {
         let groups = group_targets(inputs, lost_zones);
-        let planned = |group: &Group| group.capacity * inputs.settings.headroom * PLANNED_PART;
-        let link = |&capacity: &f64| if capacity > 0.0 { capacity * PLANNED_PART } else { f64::INFINITY };
-        let links = inputs.link_capacity.iter().map(link);
-        let capacities = groups.iter().map(planned).chain(links).collect();
+        let planned_capacity = |group: &Group| group.capacity * inputs.settings.headroom * USABLE_FRACTION;
+        let usable_link =
+            |&capacity: &f64| if capacity > 0.0 { capacity * USABLE_FRACTION } else { f64::INFINITY };
+        let links = inputs.link_capacity.iter().map(usable_link);
+        let capacities = groups.iter().map(planned_capacity).chain(links).collect();
         let mut model = Model { inputs, lost_zones, groups, capacities, demands: Vec::new() };
         let has_parents = model.groups_of(Role::Parent).next().is_some();
         let scarce = if has_parents { Scarce::Parent } else { Scarce::Origin };
@@ -70,7 +72,7 @@
         model
     }
 
-    /// Whether a demand must not be served twice.
+    /// Returns whether a demand's requests are not idempotent.
     pub(super) fn is_not_idempotent(&self, demand: &Demand) -> bool {
         self.inputs.classes[demand.class].idempotency == Idempotency::NotIdempotent
     }
@@ -79,7 +81,8 @@
         (0..self.groups.len()).filter(move |&group| self.groups[group].role == role)
     }
 
-    /// Divides a zone's load of a class into hits and misses where its caches stand; else it is one demand.
+    /// Adds a zone's load of a class: as separate demands for hits and misses if the zone has caches that are not lost,
+    /// otherwise as one demand.
     fn add_demands(&mut self, zone: Zone, class: usize) {
         let load = self.inputs.load[zone][class];
         if load < GRID {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Parents, then the origin.
+    /// Returns the groups that caches can fill from: parents, then the origin.
     fn sources(&self) -> Vec<usize> {
         self.groups_of(Role::Parent).chain(self.groups_of(Role::Origin)).collect()
     }
@@ -126,13 +129,13 @@
         pairs.map(|(cache, source)| self.route(zone, class, Some(cache), Some(source), 1.0)).collect()
     }
 
-    /// Straight to the sources, and by the caches of other zones, where the settings allow these.
+    /// Returns the routes directly to the sources and through the caches of other zones, as far as the settings allow them.
     fn routes_without_caches(&self, zone: Zone, class: usize) -> Vec<Route> {
         let sources = self.sources();
         let mut routes = Vec::new();
         if self.inputs.may_bypass_caches {
-            let straight = sources.iter().map(|&source| self.route(zone, class, None, Some(source), 1.0));
-            routes.extend(straight);
+            let direct = sources.iter().map(|&source| self.route(zone, class, None, Some(source), 1.0));
+            routes.extend(direct);
         }
         if self.inputs.settings.cross_zone_caches {
             let miss_ratio = self.inputs.miss_ratio[class];
@@ -200,13 +203,13 @@
         if round_down(target.capacity) <= 0.0 || (!is_origin && lost_zones.contains(&target.zone)) {
             continue;
         }
-        let alike = |group: &Group| {
+        let belongs_to = |group: &Group| {
             group.role == target.role
                 && (is_origin || group.price == target.price)
                 && (target.role != Role::Cache || group.zone == target.zone)
         };
         let member = GroupMember { target: place, capacity: target.capacity };
-        match groups.iter_mut().find(|group| alike(group)) {
+        match groups.iter_mut().find(|group| belongs_to(group)) {
             Some(group) => {
                 group.capacity += target.capacity;
                 group.price = group.price.max(target.price);
--- a/src/failover/load_shift/plan.rs
+++ b/src/failover/load_shift/plan.rs
@@ -1,42 +1,43 @@
-//! One plan: what is done while some zones are lost.
+//! A plan: how load is served while certain zones are lost.
 
 use crate::failover::Zone;
 use crate::routing::events::Role;
 use std::collections::BTreeMap;
 
-/// From here on a part counts as served whole: what rounding takes away is no rejection.
-pub(super) const SERVED_WHOLE: f64 = 0.999;
+/// Served fraction from which load counts as fully served: rounding errors must not count as rejections.
+pub(super) const FULLY_SERVED: f64 = 0.999;
 
-/// A target of a group, and its capacity.
+/// A target of a group and its capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct GroupMember {
-    /// Its place in the list of targets.
+    /// Index in the list of targets.
     pub target: usize,
     pub capacity: f64,
 }
 
-/// Work of one target.
+/// Work assigned to one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetWork {
-    /// Its place in [`Plans::targets`](super::Plans::targets).
+    /// Index in [`Plans::targets`](super::Plans::targets).
     pub target: usize,
-    /// The work, in transfers at full rate.
+    /// Work, in transfers at full rate.
     pub work: f64,
 }
 
-/// Targets that are alike for a plan: caches of one zone, or parents of whatever zone, of one price; or the origin.
+/// Targets that are interchangeable in a plan: caches of one zone and price, parents of any zone and one price, or the
+/// origin.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Group {
     pub role: Role,
     pub zone: Zone,
     pub price: f64,
-    /// Their capacity together, without headroom.
+    /// Total capacity of the members, without headroom.
     pub capacity: f64,
     pub members: Vec<GroupMember>,
 }
 
 impl Group {
-    /// The part of each target in the group's work.
+    /// Divides the group's work among its targets in proportion to their capacity.
     pub(super) fn divide(&self, work: f64) -> impl Iterator<Item = TargetWork> + '_ {
         self.members.iter().map(move |member| TargetWork {
             target: member.target,
@@ -45,43 +46,43 @@
     }
 }
 
-/// Work of one zone and class that takes one route.
+/// Work of one zone and class on one route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Flow {
-    /// The group of caches that serves it; `None`: straight to the source.
+    /// Group of caches that serves the work; `None` if it goes directly to the source.
     pub cache: Option<usize>,
-    /// The group that fills it; `None`: nothing is filled.
+    /// Group that serves the misses; `None` if there are none.
     pub source: Option<usize>,
     pub work: f64,
-    /// Work that the source does.
+    /// Work that the source does for this flow.
     pub filled: f64,
 }
 
-/// What is done while some zones are lost.
+/// How load is served while certain zones are lost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The number of the inputs and the lost zones; never 0.
+    /// Number of the plan, a hash of the inputs and the lost zones; never 0.
     pub number: u32,
-    /// The zones, ascending.
+    /// Lost zones, in ascending order.
     pub lost_zones: Vec<Zone>,
-    /// Part of the load that is served, by zone and class, 0 to 1.
+    /// Fraction of the load that is served, by zone and class, 0 to 1.
     pub admitted: Vec<Vec<f64>>,
-    /// All work of each target, in the order of [`Plans::targets`](super::Plans::targets). Never above its capacity
-    /// times the headroom.
+    /// Total work of each target, in the order of [`Plans::targets`](super::Plans::targets); at most its capacity times
+    /// the headroom.
     pub work: Vec<f64>,
-    /// What each zone's link carries; 0 where it has no limit.
+    /// Load of each zone's link; 0 if the link has no limit.
     pub link_load: Vec<f64>,
-    /// Priority weight that is served less its price.
+    /// Total priority weight of the served work, less its price.
     pub gain: f64,
-    /// Whether every floor is kept.
+    /// Whether every demand is served at least up to its floor.
     pub keeps_floors: bool,
     pub(super) groups: Vec<Group>,
-    /// By zone and class.
+    /// Flows, by zone and class.
     pub(super) flows: Vec<Vec<Vec<Flow>>>,
 }
 
 impl Plan {
-    /// What a zone sends of a class, by target: itself or as the source of its fills.
+    /// Returns the work of a class that a zone causes, by target: sent to it directly, or as the source of cache fills.
     pub fn sent(&self, zone: Zone, class: usize) -> Vec<TargetWork> {
         let mut sent = BTreeMap::new();
         let mut add = |group: Option<usize>, work: f64| {
@@ -96,17 +97,17 @@
         sent.map(|(target, work)| TargetWork { target, work }).collect()
     }
 
-    /// What sources do for a zone and class.
+    /// Returns the work that sources do for a zone and class.
     pub fn filled(&self, zone: Zone, class: usize) -> f64 {
         self.flows(zone, class).iter().map(|flow| flow.filled).sum()
     }
 
-    /// Whether requests are rejected in a zone.
+    /// Returns whether requests are rejected in a zone.
     pub fn rejects_in(&self, zone: Zone) -> bool {
         self.admitted.get(zone).is_some_and(|classes| rejects_any(classes))
     }
 
-    /// Whether requests are rejected anywhere.
+    /// Returns whether requests are rejected in any zone.
     pub fn rejects(&self) -> bool {
         self.admitted.iter().any(|classes| rejects_any(classes))
     }
@@ -117,5 +118,5 @@
 }
 
 fn rejects_any(admitted: &[f64]) -> bool {
-    admitted.iter().any(|&part| part < SERVED_WHOLE)
+    admitted.iter().any(|&part| part < FULLY_SERVED)
 }
--- a/src/failover/load_shift/plans.rs
+++ b/src/failover/load_shift/plans.rs
@@ -1,7 +1,7 @@
-//! The plans for the loss of each zone, and how they are made ahead, one a step.
+//! The plans for the loss of each zone, and their computation in advance, one plan per step.
 
 use super::error::PlanError;
-use super::greedy::fill;
+use super::greedy::allocate_greedily;
 use super::inputs::{Inputs, Target, MAX_FIGURE};
 use super::model::Model;
 use super::plan::Plan;
@@ -10,24 +10,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Up to so many zones the loss of each two at once has a program of its own.
+/// Maximum number of zones for which the loss of each two at once has its own precomputed plan.
 pub const MAX_PAIRED_ZONES: usize = 32;
 
-/// The plans of one set of inputs.
+/// The plans for one set of inputs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plans {
     number: u32,
     pub(super) inputs: Arc<Inputs>,
-    /// By the zones lost, ascending.
-    made: BTreeMap<Vec<Zone>, Arc<Plan>>,
+    /// Precomputed plans, by the lost zones in ascending order.
+    by_lost_zones: BTreeMap<Vec<Zone>, Arc<Plan>>,
 }
 
 impl Plans {
-    /// Makes all of them at once; an event loop uses [`PlanBuilder`].
+    /// Computes all plans at once; an event loop uses [`PlanBuilder`] instead.
     ///
     /// # Errors
     ///
-    /// [`PlanError`] where the inputs can't be.
+    /// [`PlanError`] if the inputs are invalid.
     pub fn make(inputs: &Inputs) -> Result<Plans, PlanError> {
         let mut builder = PlanBuilder::new(inputs)?;
         loop {
@@ -37,13 +37,13 @@
         }
     }
 
-    /// The number that all instances with equal inputs have; never 0.
+    /// Returns the number of the plans, which is the same on all instances with equal inputs and never 0.
     pub fn number(&self) -> u32 {
         self.number
     }
 
-    /// Whether all load would still be served after the loss of a zone with each zone's load times its growth; one
-    /// program is solved.
+    /// Returns whether all load would still be served after the loss of a zone if each zone's load were multiplied by its
+    /// growth. Solves one linear program.
     pub fn survives_loss(&self, lost: Zone, growth: &[f64]) -> bool {
         let mut inputs = Inputs::clone(&self.inputs);
         for (load, factor) in inputs.load.iter_mut().zip(growth) {
@@ -55,40 +55,40 @@
         !solve(&model).into_plan(self.number).rejects()
     }
 
-    /// The targets in the order that plans name them: by server.
+    /// Returns the targets, sorted by server; plans refer to them by index.
     pub fn targets(&self) -> &[Target] {
         &self.inputs.targets
     }
 
-    /// The plan for a set of lost zones; the empty set: nothing is lost. Unknown zones are left out.
+    /// Returns the plan for a set of lost zones, which may be empty. Unknown zones are ignored.
     pub fn for_lost(&self, lost: &[Zone]) -> Arc<Plan> {
         let mut lost: Vec<Zone> = lost.iter().copied().filter(|&zone| zone < self.inputs.zones).collect();
         lost.sort_unstable();
         lost.dedup();
-        match self.made.get(&lost) {
+        match self.by_lost_zones.get(&lost) {
             Some(plan) => plan.clone(),
             None => {
                 let model = Model::new(&self.inputs, &lost);
-                Arc::new(fill(&model).into_plan(self.number))
+                Arc::new(allocate_greedily(&model).into_plan(self.number))
             }
         }
     }
 }
 
-/// Makes plans one after another, so that an event loop is never held up for long.
+/// Computes plans one by one, so that an event loop is never blocked for long.
 #[derive(Clone, Debug)]
 pub struct PlanBuilder {
     plans: Plans,
-    /// Sets of zones that are still to be solved, the next one last.
+    /// Sets of lost zones that have no plan yet, the next one last.
     remaining: Vec<Vec<Zone>>,
 }
 
 impl PlanBuilder {
-    /// Checks the inputs.
+    /// Validates the inputs.
     ///
     /// # Errors
     ///
-    /// [`PlanError`] where they can't be.
+    /// [`PlanError`] if they are invalid.
     pub fn new(inputs: &Inputs) -> Result<PlanBuilder, PlanError> {
         let inputs = Arc::new(inputs.clone().checked()?);
         let zones = inputs.zones;
@@ -100,21 +100,21 @@
         }
         remaining.extend((0..zones).map(|zone| vec![zone]));
         remaining.push(Vec::new());
-        let plans = Plans { number: inputs.number(), inputs, made: BTreeMap::new() };
+        let plans = Plans { number: inputs.number(), inputs, by_lost_zones: BTreeMap::new() };
         Ok(PlanBuilder { plans, remaining })
     }
 
-    /// Steps that are still to be taken.
+    /// Returns the number of remaining steps.
     pub fn remaining(&self) -> usize {
         self.remaining.len()
     }
 
-    /// Solves the next program; gives the plans with the last one.
+    /// Computes the next plan; returns all plans after the last one.
     pub fn step(&mut self) -> Option<Plans> {
         if let Some(lost) = self.remaining.pop() {
             let model = Model::new(&self.plans.inputs, &lost);
             let plan = solve(&model).into_plan(self.plans.number);
-            self.plans.made.insert(lost, Arc::new(plan));
+            self.plans.by_lost_zones.insert(lost, Arc::new(plan));
         }
         self.remaining.is_empty().then(|| self.plans.clone())
     }
--- a/src/failover/load_shift/rejection_order.rs
+++ b/src/failover/load_shift/rejection_order.rs
@@ -1,27 +1,27 @@
 //! Which requests are rejected first when a resource is scarce.
 //!
-//! | turn | what goes | why then |
+//! | step | what is rejected | reason |
 //! | --- | --- | --- |
 //! | 1 | background refreshes | no client waits for one |
-//! | 2 | nothing yet: stale copies are accepted, as far as their class allows | an old answer in time is better than none |
-//! | 3 | misses, first of the class with the lowest priority per unit of the scarce resource | a hit costs nothing of a link, a parent or the origin |
-//! | 4 | hits, the class of the lowest priority first; only where the caches themselves are scarce | |
-//! | 5 | idempotent requests that run at the origin | the client can repeat them, and only there |
-//! | 6 | requests that are not idempotent | rejected only before they were sent, and never moved once they may have run |
+//! | 2 | nothing; stale copies are accepted, as far as their class allows | a stale answer in time is better than none |
+//! | 3 | misses, first of the class with the lowest priority per unit of the scarce resource | a hit uses no link, parent or origin |
+//! | 4 | hits, the class of the lowest priority first; only if the caches themselves are scarce | |
+//! | 5 | idempotent requests that run at the origin | the client can retry them, but only the origin can serve them |
+//! | 6 | requests that are not idempotent | rejected only before they are sent, and never moved once they may have run |
 //!
-//! In each turn every class keeps its floor (`Settings::floor`), as far as there is capacity at all.
+//! In each step every class keeps its floor (`Settings::floor`) as long as there is capacity.
 
 use super::inputs::Inputs;
 use crate::routing::events::{Idempotency, Role};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// What there is too little of.
+/// The scarce resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scarce {
     /// Edge caches.
     Cache,
-    /// A zone's link in.
+    /// A zone's inbound link.
     Link,
     /// Parents.
     Parent,
@@ -29,34 +29,34 @@
     Origin,
 }
 
-/// One turn of the order of rejection.
+/// One step of the order of rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionStep {
-    /// Background refreshes are left out.
+    /// Background refreshes are rejected.
     BackgroundRefreshes,
     /// Stale copies of a class are accepted; nothing is rejected.
     AcceptStale {
-        /// Its number.
+        /// Number of the class.
         class: usize,
     },
     /// Misses of a class are rejected.
     Misses {
-        /// Its number.
+        /// Number of the class.
         class: usize,
     },
-    /// Hits of a class are rejected too.
+    /// Hits of a class are rejected.
     Hits {
-        /// Its number.
+        /// Number of the class.
         class: usize,
     },
     /// Idempotent requests of a class that runs at the origin are rejected.
     OriginOnly {
-        /// Its number.
+        /// Number of the class.
         class: usize,
     },
     /// Requests of a class that is not idempotent are rejected.
     NotIdempotent {
-        /// Its number.
+        /// Number of the class.
         class: usize,
     },
 }
@@ -64,26 +64,26 @@
 impl fmt::Display for RejectionStep {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            RejectionStep::BackgroundRefreshes => write!(f, "no background refreshes"),
+            RejectionStep::BackgroundRefreshes => write!(f, "background refreshes rejected"),
             RejectionStep::AcceptStale { class } => write!(f, "stale copies of class {class} accepted"),
             RejectionStep::Misses { class } => write!(f, "misses of class {class} rejected"),
             RejectionStep::Hits { class } => write!(f, "hits of class {class} rejected"),
             RejectionStep::OriginOnly { class } => {
-                write!(f, "class {class} rejected, which runs at the origin")
+                write!(f, "class {class} rejected, which only the origin can serve")
             }
             RejectionStep::NotIdempotent { class } => {
-                write!(f, "class {class} rejected, which must not run twice")
+                write!(f, "class {class} rejected, which is not idempotent")
             }
         }
     }
 }
 
-/// Priority of one unit of a class's work per unit of the scarce resource that it takes; infinite where it takes none.
-/// Of a class that caches serve, a unit of its misses is meant.
+/// Returns the priority of one unit of a class's work per unit of the scarce resource that it uses; infinite if it uses
+/// none. For a class that caches serve, the unit is one unit of misses.
 pub fn priority_per_unit(inputs: &Inputs, class: usize, scarce: Scarce) -> f64 {
     let has_parents =
         inputs.targets.iter().any(|target| target.role == Role::Parent && target.capacity > 0.0);
-    let takes = match (inputs.runs_at_origin(class), scarce) {
+    let used = match (inputs.runs_at_origin(class), scarce) {
         (true, Scarce::Link | Scarce::Origin) => 1.0,
         (false, Scarce::Cache | Scarce::Link | Scarce::Parent) => 1.0,
         (true, Scarce::Cache | Scarce::Parent) => 0.0,
@@ -91,15 +91,15 @@
         (false, Scarce::Origin) => 1.0,
     };
     let weight = inputs.priority_weight.get(class).copied().unwrap_or(0.0);
-    if takes > 0.0 {
-        weight / takes
+    if used > 0.0 {
+        weight / used
     } else {
         f64::INFINITY
     }
 }
 
-/// The order in which something is given up, first to last; see the table above. A class that takes nothing of the
-/// scarce resource is not rejected for it.
+/// Returns the steps of rejection, first to last; see the table above. A class that uses none of the scarce resource
+/// is not rejected because of it.
 pub fn rejection_order(inputs: &Inputs, scarce: Scarce) -> Vec<RejectionStep> {
     let classes = lowest_priority_first(inputs, scarce);
     let (at_origin, cached): (Vec<usize>, Vec<usize>) =
@@ -122,9 +122,9 @@
     steps
 }
 
-/// The classes from the one rejected last to the one rejected first.
+/// Returns the classes in order of admission, the one rejected last first.
 pub fn admission_order(inputs: &Inputs, scarce: Scarce) -> Vec<usize> {
-    let rejected_first = |a: &usize, b: &usize| -> Ordering {
+    let rejection_cmp = |a: &usize, b: &usize| -> Ordering {
         inputs
             .runs_at_origin(*a)
             .cmp(&inputs.runs_at_origin(*b))
@@ -133,11 +133,11 @@
             .then(a.cmp(b))
     };
     let mut classes: Vec<usize> = (0..inputs.classes.len()).collect();
-    classes.sort_by(|a, b| rejected_first(b, a));
+    classes.sort_by(|a, b| rejection_cmp(b, a));
     classes
 }
 
-/// The classes that take any of the scarce resource.
+/// Returns the classes that use the scarce resource, the one with the lowest priority first.
 fn lowest_priority_first(inputs: &Inputs, scarce: Scarce) -> Vec<usize> {
     let priority = |class: usize| priority_per_unit(inputs, class, scarce);
     let mut classes: Vec<usize> =
--- a/src/failover/load_shift/solver.rs
+++ b/src/failover/load_shift/solver.rs
@@ -1,48 +1,51 @@
-//! The plan with the most gain, by a linear program.
+//! The plan with the largest gain, computed by a linear program.
 
 use super::allocation::Allocation;
-use super::greedy::fill;
+use super::greedy::allocate_greedily;
 use super::model::{Demand, Model, Route};
 use good_lp::{
     constraint, variable, Expression, ProblemVariables, ResolutionError, Solution, SolverModel, Variable,
 };
 
-/// What serving a unit that only the origin can run counts for beside its priority weight, in parts of the largest
-/// weight, where not all of that can be served.
+/// Extra gain for serving a unit of work that only the origin can do, as a multiple of the largest priority weight;
+/// used if not all of this work can be served.
 const AT_ORIGIN_WEIGHT: f64 = 100.0;
-/// The same of a unit that is not idempotent.
+/// Extra gain for serving a unit that is not idempotent, in the same unit.
 const NOT_IDEMPOTENT_WEIGHT: f64 = AT_ORIGIN_WEIGHT * 2.0;
-/// What the route of a higher number costs more, in parts of the largest weight: of equal routes the first is taken.
+/// Extra cost of the last route, as a multiple of the largest priority weight; the extra cost grows with the position
+/// of a route, so that the first of equal routes is chosen.
 const TIE_BREAK: f64 = 1e-5;
-/// What the solver may be off by, in work: without it, rounding down would turn whole numbers into less.
+/// Numerical tolerance of the solver, in units of work: without it, rounding down would decrease exact results by one
+/// grid unit.
 const TOLERANCE: f64 = 1e-6;
-/// The largest demand is scaled to about two to this power, which the solver's absolute tolerance fits.
+/// Binary exponent to which the largest demand is scaled, suitable for the solver's absolute tolerance.
 const SCALED_EXPONENT: f64 = 10.0;
 
-/// Whether the linear program has to serve all that only the origin can run.
+/// Whether the linear program has to serve all work that only the origin can do.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OriginDemands {
-    ServedWhole,
+    FullyServed,
     AsMuchAsPossible,
 }
 
-/// The plan with the most gain that keeps every floor and serves all that only the origin can run; else the one that
-/// serves the most of that. Where the floors have no capacity, the one by [`fill`], which shares out what there is.
+/// Computes the plan with the largest gain that keeps every floor and serves all work that only the origin can do. If
+/// there is none, computes the plan that serves as much as possible of that work. If the capacity is not enough for the
+/// floors, [`allocate_greedily`] divides it.
 pub(super) fn solve<'a, 'b>(model: &'b Model<'a>) -> Allocation<'a, 'b> {
-    let works = solve_program(model, OriginDemands::ServedWhole)
+    let works = solve_program(model, OriginDemands::FullyServed)
         .or_else(|_| solve_program(model, OriginDemands::AsMuchAsPossible));
-    let Ok(works) = works else { return fill(model) };
+    let Ok(works) = works else { return allocate_greedily(model) };
     let mut allocation = Allocation::new(model);
-    // The solver keeps to its rows within a tolerance; the allocation keeps to them.
+    // The solver respects its constraints only within a tolerance; the allocation respects them exactly.
     for (demand, works) in works.iter().enumerate() {
         for (route, &work) in works.iter().enumerate().filter(|(_, &work)| work > TOLERANCE) {
-            allocation.place(demand, route, work + TOLERANCE);
+            allocation.allocate(demand, route, work + TOLERANCE);
         }
     }
     allocation
 }
 
-/// The work of each demand on each of its routes.
+/// Returns the work of each demand on each of its routes.
 fn solve_program(model: &Model, origin_demands: OriginDemands) -> Result<Vec<Vec<f64>>, ResolutionError> {
     let mut program = Program::new(model, origin_demands);
     let routes: Vec<Vec<Variable>> = model.demands.iter().map(|demand| program.add_demand(demand)).collect();
@@ -55,17 +58,17 @@
 struct Program<'a, 'b> {
     model: &'b Model<'a>,
     origin_demands: OriginDemands,
-    /// A power of two, so that scaling rounds nothing.
+    /// Scale of work in the program: a power of two, so that scaling causes no rounding.
     scale: f64,
     largest_weight: f64,
     route_count: f64,
-    /// Routes added so far.
+    /// Number of routes added so far.
     routes_added: f64,
     variables: ProblemVariables,
     gain: Expression,
-    /// In the order of [`Model::capacities`].
+    /// Used capacity, in the order of [`Model::capacities`].
     used: Vec<Expression>,
-    /// By demand.
+    /// Served work, by demand.
     served: Vec<Expression>,
 }
 
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Adds a variable for each route of a demand.
+    /// Adds a variable for the work on each route of a demand.
     fn add_demand(&mut self, demand: &Demand) -> Vec<Variable> {
         let routes: Vec<Variable> =
             demand.routes.iter().map(|_| self.variables.add(variable().min(0.0))).collect();
@@ -123,9 +126,9 @@
             }
         }
         for (served, demand) in self.served.into_iter().zip(&self.model.demands) {
-            let whole = demand.at_origin && self.origin_demands == OriginDemands::ServedWhole;
-            let least = if whole { 1.0 } else { self.model.inputs.settings.floor };
-            // What has no route at all has no floor: it would take every other floor down with it.
+            let must_be_full = demand.at_origin && self.origin_demands == OriginDemands::FullyServed;
+            let least = if must_be_full { 1.0 } else { self.model.inputs.settings.floor };
+            // A demand without a usable route gets no floor: the program would become infeasible for all demands.
             if least > 0.0 && has_capacity(self.model, demand) {
                 problem.add_constraint(constraint!(served.clone() >= demand.amount * scale * least));
             }
--- a/src/failover/load_shift/tests.rs
+++ b/src/failover/load_shift/tests.rs
@@ -1,7 +1,7 @@
 use super::constraints::ConstraintQuery;
-use super::greedy::fill;
+use super::greedy::allocate_greedily;
 use super::model::Model;
-use super::plan::SERVED_WHOLE;
+use super::plan::FULLY_SERVED;
 use super::solver::solve;
 use super::*;
 use crate::failover::{Settings, Zone};
@@ -9,7 +9,7 @@
 use crate::routing::events::{Class, DeduplicationScope, Idempotency, Role};
 use proptest::prelude::*;
 
-fn class(uncacheable: bool, effect: Idempotency) -> Class {
+fn class(uncacheable: bool, idempotency_of_class: Idempotency) -> Class {
     let (fresh, grace) = if uncacheable { (0, 0) } else { (30_000_000, 30_000_000) };
     Class {
         fresh_for: fresh,
@@ -17,7 +17,7 @@
         uncacheable,
         latency_objective: 1,
         latency_objective_stretch: 1.0,
-        idempotency: effect,
+        idempotency: idempotency_of_class,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
     }
@@ -36,8 +36,8 @@
     Target { server: server.into(), role, zone, capacity, price: 0.0 }
 }
 
-/// Two branches and a hub: caches of 100 each, a parent of 50, the origin of 10.
-fn small() -> Inputs {
+/// Two zones with a cache of capacity 100 each, and a third with a parent of 50 and the origin of 10.
+fn small_inputs() -> Inputs {
     let targets = vec![
         target("a", Role::Cache, 0, 100.0),
         target("b", Role::Cache, 1, 100.0),
@@ -101,11 +101,11 @@
 fn solved(inputs: &Inputs, lost: &[Zone]) -> (Plan, Plan) {
     let inputs = inputs.clone().checked().unwrap();
     let model = Model::new(&inputs, lost);
-    (solve(&model).into_plan(1), fill(&model).into_plan(1))
+    (solve(&model).into_plan(1), allocate_greedily(&model).into_plan(1))
 }
 
-/// Whether a plan keeps to all bounds, by its flows alone.
-fn keeps_limits(inputs: &Inputs, plan: &Plan) -> Result<(), TestCaseError> {
+/// Checks from the flows of a plan that the plan respects all limits.
+fn check_limits(inputs: &Inputs, plan: &Plan) -> Result<(), TestCaseError> {
     let inputs = &inputs.clone().checked().unwrap();
     let (mut groups, mut links) = (vec![0.0; plan.groups.len()], vec![0.0; inputs.zones]);
     for (zone, class) in (0..inputs.zones).flat_map(|z| (0..4).map(move |c| (z, c))) {
@@ -132,8 +132,8 @@
     }
     for (group, used) in plan.groups.iter().zip(groups) {
         prop_assert!(used <= group.capacity * inputs.settings.headroom, "{used} at {group:?}");
-        let gone = group.members.iter().any(|m| plan.lost_zones.contains(&inputs.targets[m.target].zone));
-        prop_assert!(group.role == Role::Origin || !gone);
+        let is_lost = group.members.iter().any(|m| plan.lost_zones.contains(&inputs.targets[m.target].zone));
+        prop_assert!(group.role == Role::Origin || !is_lost);
     }
     for (link, used) in inputs.link_capacity.iter().zip(links) {
         prop_assert!(*link <= 0.0 || used <= *link, "{used} of {link}");
@@ -144,33 +144,33 @@
     Ok(())
 }
 
-/// What is told of the origin's classes: served whole.
-fn serves_origin_classes_whole(inputs: &Inputs, plan: &Plan) -> bool {
-    inputs.load.iter().zip(&plan.admitted).all(|(l, a)| (2..4).all(|c| l[c] == 0.0 || a[c] >= SERVED_WHOLE))
+/// Returns whether a plan fully serves the classes that run at the origin.
+fn fully_serves_origin_classes(inputs: &Inputs, plan: &Plan) -> bool {
+    inputs.load.iter().zip(&plan.admitted).all(|(l, a)| (2..4).all(|c| l[c] == 0.0 || a[c] >= FULLY_SERVED))
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever is lost: no target, headroom or link is passed, and the program serves no less than the filling.
+    /// Holds for any set of lost zones. The linear program also has to gain no less than the greedy allocation.
     #[test]
-    fn plans_keep_to_every_limit_and_to_the_floors(
+    fn plans_respect_all_limits_and_floors(
         inputs in any_inputs(), lost in prop::collection::btree_set(0usize..6, 0..4),
     ) {
         let lost: Vec<Zone> = lost.into_iter().filter(|&z| z < inputs.zones).collect();
-        let (plan, filled) = solved(&inputs, &lost);
-        keeps_limits(&inputs, &plan)?;
-        keeps_limits(&inputs, &filled)?;
-        prop_assert!(plan.keeps_floors || !filled.keeps_floors, "there was room for all floors");
-        if filled.keeps_floors && serves_origin_classes_whole(&inputs, &filled) {
-            prop_assert!(serves_origin_classes_whole(&inputs, &plan));
-            prop_assert!(plan.gain >= filled.gain - 0.02, "{} below {}", plan.gain, filled.gain);
+        let (plan, greedy) = solved(&inputs, &lost);
+        check_limits(&inputs, &plan)?;
+        check_limits(&inputs, &greedy)?;
+        prop_assert!(plan.keeps_floors || !greedy.keeps_floors, "there was capacity for all floors");
+        if greedy.keeps_floors && fully_serves_origin_classes(&inputs, &greedy) {
+            prop_assert!(fully_serves_origin_classes(&inputs, &plan));
+            prop_assert!(plan.gain >= greedy.gain - 0.02, "{} below {}", plan.gain, greedy.gain);
         }
     }
 
-    /// Where there was room for floors and writes, more capacity never serves less worth.
+    /// Holds if the capacity is enough for the floors and for the classes that run at the origin.
     #[test]
-    fn more_capacity_never_serves_less(
+    fn more_capacity_never_lowers_the_gain(
         inputs in any_inputs(), lost in 0usize..6, which: prop::sample::Index, more in 0.1f64..50.0,
     ) {
         let lost = if lost < inputs.zones { vec![lost] } else { vec![] };
@@ -178,14 +178,14 @@
         which.get_mut(&mut larger.targets).capacity += more;
         let (before, after) = (solved(&inputs, &lost).0, solved(&larger, &lost).0);
         prop_assert!(after.keeps_floors || !before.keeps_floors);
-        if before.keeps_floors && serves_origin_classes_whole(&inputs, &before) {
+        if before.keeps_floors && fully_serves_origin_classes(&inputs, &before) {
             prop_assert!(after.gain >= before.gain - 0.02, "{} after {}", after.gain, before.gain);
         }
     }
 
-    /// Instances that list the servers in another order have the same plans, bit by bit; other inputs another number.
+    /// Plans are bit-identical whatever the order of the servers; other inputs give another number.
     #[test]
-    fn equal_inputs_give_equal_plans(inputs in any_inputs(), seed: u64, which: prop::sample::Index) {
+    fn equal_inputs_in_any_order_give_equal_plans(inputs in any_inputs(), seed: u64, which: prop::sample::Index) {
         use rand::{seq::SliceRandom, SeedableRng};
         let inputs = Inputs { zones: inputs.zones.min(3), ..inputs };
         let Ok(one) = Plans::make(&inputs) else { return Ok(()) };
@@ -200,46 +200,45 @@
         prop_assert_ne!(Plans::make(&changed).unwrap().number(), one.number());
     }
 
-    /// For any states of the sites: the parts of all instances together are within what each server can do, and what
-    /// returns and what was moved are never both sent.
+    /// Holds for any states of the sites. Load of a recovering site and its shifted load must not both be sent in full.
     #[test]
-    fn all_instances_together_keep_to_the_limits(
+    fn limits_of_all_instances_add_up_to_at_most_the_capacity_of_each_server(
         inputs in any_inputs(),
         factors in prop::collection::vec(prop_oneof![Just(0.0), Just(1.0), 0.0f64..=1.0], 6),
-        instances in prop::collection::vec(0u32..40, 6), trial in 0.0f64..2.0,
+        instances in prop::collection::vec(0u32..40, 6), max_probe_rate in 0.0f64..2.0,
     ) {
         let inputs = Inputs { zones: inputs.zones.min(3), ..inputs };
         let Ok(plans) = Plans::make(&inputs) else { return Ok(()) };
         let all = instances[..inputs.zones].iter().map(|&d| d.max(1)).sum();
         let factors = &factors[..inputs.zones];
         let mut sums = vec![0.0; plans.targets().len()];
-        let mut guided = vec![0.0; inputs.zones];
+        let mut fill_rates = vec![0.0; inputs.zones];
         for zone in 0..inputs.zones {
-            let here = instances[zone];
+            let instances_in_zone = instances[zone];
             let query =
                 ConstraintQuery {
                     zone,
-                    zone_instances: here,
+                    zone_instances: instances_in_zone,
                     all_instances: all,
                     site_factors: factors,
-                    probe_rate: trial,
+                    probe_rate: max_probe_rate,
                     window: 1_000_000,
                     expected_return: 10_000_000,
                     learning_share: None,
                 };
             let constraints = plans.constraints(&query);
             prop_assert_eq!(factors.iter().all(|&f| f >= 1.0), constraints == Constraints::default());
-            for bound in &constraints.rate_limits {
-                let at = plans.targets().iter().position(|t| t.server == bound.endpoint).unwrap();
-                sums[at] += bound.rate * f64::from(here.max(1));
+            for limit in &constraints.rate_limits {
+                let at = plans.targets().iter().position(|t| t.server == limit.endpoint).unwrap();
+                sums[at] += limit.rate * f64::from(instances_in_zone.max(1));
             }
-            guided[zone] = constraints.fill_rates.iter().flatten().sum::<f64>();
+            fill_rates[zone] = constraints.fill_rates.iter().flatten().sum::<f64>();
         }
-        prop_assert!(guided.iter().all(|g| g.is_finite() && *g >= 0.0));
+        prop_assert!(fill_rates.iter().all(|g| g.is_finite() && *g >= 0.0));
         for (target, sum) in plans.targets().iter().zip(&sums) {
             let factor = if target.role == Role::Origin { 1.0 } else { factors[target.zone] };
             let most = match factor < 1.0 {
-                true => (factor * target.capacity).max(trial).min(target.capacity),
+                true => (factor * target.capacity).max(max_probe_rate).min(target.capacity),
                 false => target.capacity * inputs.settings.headroom,
             };
             prop_assert!(*sum <= most * (1.0 + 1e-9), "{sum} over {most} at {target:?}");
@@ -248,15 +247,22 @@
 }
 
 #[test]
-fn load_of_a_lost_zone_bypasses_its_caches_and_the_rest_is_rejected_in_order() {
-    let plans = Plans::make(&small()).unwrap();
-    let none = plans.for_lost(&[]);
-    assert!(!none.rejects(), "{:?}", none.admitted);
-    // The parent and the origin have 51 together; 12 are for fills of the other zone and writes of both.
+fn load_of_a_lost_zone_bypasses_its_caches_and_the_excess_is_rejected_in_order() {
+    let plans = Plans::make(&small_inputs()).unwrap();
+    let no_loss = plans.for_lost(&[]);
+    assert!(!no_loss.rejects(), "{:?}", no_loss.admitted);
+    // The parent and the origin have a usable capacity of 51 together; 12 of it serve fills of the other zone and the
+    // classes of both zones that run at the origin.
     let lost = plans.for_lost(&[0]);
-    let [cheap, dear, uncached, once] = lost.admitted[0][..] else { panic!() };
-    assert!(uncached > 0.999 && once > 0.999 && dear > 0.999 && (0.2..0.6).contains(&cheap), "{lost:?}");
-    // A miss there is worth as much as one here; its caches' hits cost nothing of what is scarce.
+    let [low_priority, high_priority, uncacheable, not_idempotent] = lost.admitted[0][..] else { panic!() };
+    assert!(
+        uncacheable > 0.999
+            && not_idempotent > 0.999
+            && high_priority > 0.999
+            && (0.2..0.6).contains(&low_priority),
+        "{lost:?}"
+    );
+    // A miss in the other zone has the same priority as one in the lost zone; hits in its caches use no scarce capacity.
     assert!(lost.admitted[1][0] >= 0.9 && lost.admitted[1][1..] == [1.0; 3], "{lost:?}");
     let query = ConstraintQuery {
         zone: 0,
@@ -269,10 +275,10 @@
         learning_share: None,
     };
     let constraints = plans.constraints(&query);
-    let bound =
+    let limit =
         |server: &str| constraints.rate_limits.iter().find(|b| &*b.endpoint == server).map(|b| b.rate);
-    assert_eq!((bound("a"), bound("b")), (Some(0.5), None));
-    assert!(bound("p").unwrap() <= 42.5 / 2.0 && bound("o").unwrap() <= 8.5 / 2.0);
+    assert_eq!((limit("a"), limit("b")), (Some(0.5), None));
+    assert!(limit("p").unwrap() <= 42.5 / 2.0 && limit("o").unwrap() <= 8.5 / 2.0);
     assert!(
         constraints.force_stale
             && constraints.retry_after == (2_000_000, 6_000_000)
@@ -282,73 +288,80 @@
 }
 
 #[test]
-fn growth_ends_what_survives_a_loss() {
-    let mut inputs = small();
+fn a_loss_is_survived_only_up_to_a_limit_of_growth() {
+    let mut inputs = small_inputs();
     inputs.load.iter_mut().flatten().for_each(|l| *l /= 8.0);
     let plans = Plans::make(&inputs).unwrap();
     assert!(plans.survives_loss(0, &[1.0, 1.0]) && !plans.survives_loss(0, &[8.0, 8.0]));
-    let first = (0..9).find(|n| !plans.survives_loss(0, &[f64::from(*n), 1.0])).unwrap();
-    assert!((2..8).contains(&first), "{first}");
+    let first_failing = (0..9).find(|n| !plans.survives_loss(0, &[f64::from(*n), 1.0])).unwrap();
+    assert!((2..8).contains(&first_failing), "{first_failing}");
 }
 
 #[test]
-fn writes_are_rejected_after_everything_but_the_floors() {
-    let mut inputs = small();
+fn requests_that_are_not_idempotent_are_rejected_after_all_but_the_floors() {
+    let mut inputs = small_inputs();
     inputs.targets.retain(|t| t.role != Role::Parent);
     inputs.load = vec![vec![40.0, 40.0, 4.0, 6.0], vec![0.0; 4]];
     inputs.priority_weight = vec![5.0, 5.0, 0.1, 0.1];
     let plans = Plans::make(&inputs).unwrap();
     let admitted = &plans.for_lost(&[0]).admitted[0];
-    // Of 8.5: floors of the reads 4, then 4.3 for what must never run twice, then 0.2 for what may.
+    // Of the usable capacity of 8.5 the floors of the cacheable classes take 4, the class that is not idempotent 4.3,
+    // and the idempotent class at the origin 0.2.
     assert!((0.049..0.051).contains(&admitted[0]) && (0.049..0.051).contains(&admitted[1]), "{admitted:?}");
     assert!(admitted[3] > 0.7 && admitted[2] < 0.06, "{admitted:?}");
 }
 
 #[test]
-fn all_parents_lost_no_load_and_one_zone_have_plans() {
-    let plans = Plans::make(&small()).unwrap();
-    let hub = plans.for_lost(&[2]);
-    assert!(hub.sent(0, 0).iter().all(|s| plans.targets()[s.target].role != Role::Parent));
+fn plans_exist_for_the_loss_of_all_parents_for_no_load_and_for_a_single_zone() {
+    let plans = Plans::make(&small_inputs()).unwrap();
+    let without_parents = plans.for_lost(&[2]);
+    assert!(without_parents.sent(0, 0).iter().all(|s| plans.targets()[s.target].role != Role::Parent));
     assert!(
-        hub.admitted[0][0] >= 0.9 && hub.keeps_floors,
-        "hits are served all the same: {:?}",
-        hub.admitted
+        without_parents.admitted[0][0] >= 0.9 && without_parents.keeps_floors,
+        "hits are still served: {:?}",
+        without_parents.admitted
     );
-    let none = Plans::make(&Inputs { load: vec![], ..small() }).unwrap();
-    assert!(!none.for_lost(&[0, 1, 2]).rejects());
+    let no_load = Plans::make(&Inputs { load: vec![], ..small_inputs() }).unwrap();
+    assert!(!no_load.for_lost(&[0, 1, 2]).rejects());
     let targets = vec![target("a", Role::Cache, 0, 1.0)];
-    let one = Inputs { zones: 1, targets, load: vec![vec![5.0; 4]], ..small() };
-    assert_eq!(Plans::make(&one).unwrap().for_lost(&[0]).admitted[0], vec![0.0; 4], "nothing is left");
+    let one_zone = Inputs { zones: 1, targets, load: vec![vec![5.0; 4]], ..small_inputs() };
+    assert_eq!(Plans::make(&one_zone).unwrap().for_lost(&[0]).admitted[0], vec![0.0; 4], "no target is left");
 }
 
 #[test]
-fn invalid_figures_are_rejected_with_their_place() {
-    let bad = |change: &dyn Fn(&mut Inputs)| {
-        let mut inputs = small();
+fn invalid_inputs_are_rejected_with_their_position() {
+    let error_of = |change: &dyn Fn(&mut Inputs)| {
+        let mut inputs = small_inputs();
         change(&mut inputs);
         Plans::make(&inputs).unwrap_err()
     };
     for value in [f64::NAN, f64::INFINITY, -1.0, 2e9] {
-        let of = |error| match error {
+        let position = |error| match error {
             PlanError::Figure { what, at, .. } => (what, at),
             other => panic!("{other}"),
         };
-        assert_eq!(of(bad(&|i| i.targets[1].capacity = value)), (Figure::Capacity, 1));
-        assert_eq!(of(bad(&|i| i.load[1][2] = value)), (Figure::Load, 2));
-        assert_eq!(of(bad(&|i| i.miss_ratio[1] = value)), (Figure::MissRatio, 1));
-        assert_eq!(of(bad(&|i| i.link_capacity = vec![1.0, value])), (Figure::Link, 1));
-        assert_eq!(of(bad(&|i| i.priority_weight[3] = value)), (Figure::PriorityWeight, 3));
-        assert_eq!(of(bad(&|i| i.settings.headroom = value)).1, 0);
+        assert_eq!(position(error_of(&|i| i.targets[1].capacity = value)), (Figure::Capacity, 1));
+        assert_eq!(position(error_of(&|i| i.load[1][2] = value)), (Figure::Load, 2));
+        assert_eq!(position(error_of(&|i| i.miss_ratio[1] = value)), (Figure::MissRatio, 1));
+        assert_eq!(position(error_of(&|i| i.link_capacity = vec![1.0, value])), (Figure::Link, 1));
+        assert_eq!(position(error_of(&|i| i.priority_weight[3] = value)), (Figure::PriorityWeight, 3));
+        assert_eq!(position(error_of(&|i| i.settings.headroom = value)).1, 0);
     }
-    assert!(matches!(bad(&|i| i.targets[0].zone = 3), PlanError::Figure { what: Figure::Zone, .. }));
-    assert!(matches!(bad(&|i| i.zones = 200), PlanError::TooMany { what: Counted::Zones, count: 200, .. }));
-    assert!(matches!(bad(&|i| i.priority_weight.truncate(2)), PlanError::Shape { count: 2, most: 4, .. }));
-    assert_eq!(bad(&|i| i.targets[1].server = "a".into()), PlanError::DuplicateServer("a".into()));
-    assert_eq!(bad(&|i| i.targets.iter_mut().for_each(|t| t.capacity = 0.0)), PlanError::NoTarget(4));
+    assert!(matches!(error_of(&|i| i.targets[0].zone = 3), PlanError::Figure { what: Figure::Zone, .. }));
+    assert!(matches!(
+        error_of(&|i| i.zones = 200),
+        PlanError::TooMany { what: Counted::Zones, count: 200, .. }
+    ));
+    assert!(matches!(
+        error_of(&|i| i.priority_weight.truncate(2)),
+        PlanError::Shape { count: 2, most: 4, .. }
+    ));
+    assert_eq!(error_of(&|i| i.targets[1].server = "a".into()), PlanError::DuplicateServer("a".into()));
+    assert_eq!(error_of(&|i| i.targets.iter_mut().for_each(|t| t.capacity = 0.0)), PlanError::NoTarget(4));
 }
 
 #[test]
-fn the_rejection_order_is_as_stated() {
+fn the_rejection_order_is_as_documented() {
     use super::rejection_order::{rejection_order, RejectionStep::*, Scarce};
     let expected = vec![
         BackgroundRefreshes,
@@ -357,12 +370,12 @@
         Misses { class: 0 },
         Misses { class: 1 },
     ];
-    let writes = [OriginOnly { class: 2 }, NotIdempotent { class: 3 }];
-    assert_eq!(rejection_order(&small(), Scarce::Link), [&expected[..], &writes].concat());
-    assert_eq!(rejection_order(&small(), Scarce::Parent), expected);
-    // The dear class asks the origin ten times as often behind a parent: there it is the cheaper one.
+    let origin_steps = [OriginOnly { class: 2 }, NotIdempotent { class: 3 }];
+    assert_eq!(rejection_order(&small_inputs(), Scarce::Link), [&expected[..], &origin_steps].concat());
+    assert_eq!(rejection_order(&small_inputs(), Scarce::Parent), expected);
+    // Behind a parent, class 1 uses the origin ten times as often as class 0, so its priority per unit is lower there.
     let parent_miss_ratio = vec![0.05, 0.5];
-    let origin = rejection_order(&Inputs { parent_miss_ratio, ..small() }, Scarce::Origin);
-    assert_eq!(origin[3..], [Misses { class: 1 }, Misses { class: 0 }, writes[0], writes[1]]);
-    assert_eq!(origin[6].to_string(), "class 3 rejected, which must not run twice");
+    let steps = rejection_order(&Inputs { parent_miss_ratio, ..small_inputs() }, Scarce::Origin);
+    assert_eq!(steps[3..], [Misses { class: 1 }, Misses { class: 0 }, origin_steps[0], origin_steps[1]]);
+    assert_eq!(steps[6].to_string(), "class 3 rejected, which is not idempotent");
 }
