--- a/tests/sites_model.rs
+++ b/tests/sites_model.rs
@@ -1,5 +1,5 @@
-//! Everything that can happen, in coarse time, between three instances that judge two sites, the sites and the links.
-//! Two instances are of zone 0, one of zone 1.
+//! Model check of three failure detectors that observe two sites, in all combinations of site and link faults with a
+//! coarse time step. Two instances are in zone 0, one in zone 1.
 
 use larchdale::failover::failure_detector::{agreement_time, FailureDetector, Transition};
 use larchdale::failover::site_report::SiteReport;
@@ -7,63 +7,66 @@
 use stateright::{Checker, Model, Property};
 
 const STEP: u64 = 1_000_000;
-const HOMES: [Zone; 3] = [0, 0, 1];
+const OWN_ZONES: [Zone; 3] = [0, 0, 1];
 
-/// What is wrong with the driver round the judges.
+/// A fault that is seeded into the driver of the detectors.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Planted {
-    Nothing,
-    /// Who is not heard, as the view has it, is taken as a failure of its site.
-    ViewIsEvidence,
-    /// The latest note of each is handed over again and again as if just written.
-    NotesDoNotAge,
-    /// A refusal on this side counts as an answer.
-    OwnRefusalsAnswer,
+enum SeededFault {
+    NoFault,
+    /// The driver counts an instance from which it receives no reports as a failure of that instance's site.
+    SilenceIsFailure,
+    /// The driver passes each peer's latest report to the detector again and again as if it had just been written.
+    ReportsDoNotAge,
+    /// The driver counts a connection refused in its own zone as an answer.
+    OwnRefusalIsAnswer,
 }
 
-/// How things stand, by instance: the zones that it reaches as bits, who hears whom (those of equal numbers), and the
-/// zones that it should hold lost in the end; `ANY`: whatever.
-struct World {
+/// State of sites and links, by instance: the zones that it reaches (as bits), its network partition (instances of the
+/// same number receive each other's reports), and the zones that it should finally consider lost (as bits), or
+/// [`UNSPECIFIED`].
+struct Environment {
     reach: [u8; 3],
-    group: [u8; 3],
+    partition: [u8; 3],
     lost: [u8; 3],
 }
 
-const ANY: u8 = u8::MAX;
-/// Well; zone 1's boxes gone; zones cut off from each other; one instance cut off (of the first two, which are alike,
-/// only one), with zone 1 well and gone; one that can't reach zone 1.
-const WORLDS: [World; 9] = [
-    World { reach: [3, 3, 3], group: [0, 0, 0], lost: [0, 0, 0] },
-    World { reach: [1, 1, 1], group: [0, 0, 0], lost: [2, 2, 2] },
-    World { reach: [1, 1, 2], group: [0, 0, 1], lost: [2, 2, 1] },
-    World { reach: [3, 0, 3], group: [0, 1, 0], lost: [0, ANY, 0] },
-    World { reach: [3, 3, 0], group: [0, 0, 1], lost: [0, 0, ANY] },
-    World { reach: [1, 0, 1], group: [0, 1, 0], lost: [2, ANY, 2] },
-    World { reach: [1, 1, 0], group: [0, 0, 1], lost: [2, 2, ANY] },
-    World { reach: [3, 1, 3], group: [0, 0, 0], lost: [0, 0, 0] },
-    World { reach: [3, 3, 1], group: [0, 0, 0], lost: [0, 0, 2] },
+const UNSPECIFIED: u8 = u8::MAX;
+/// In order: no faults; the servers of zone 1 are down; the zones are partitioned; one instance is isolated (of the two
+/// in zone 0, which are equivalent, only one), first while zone 1 is up and then while it is down; one instance can't
+/// reach zone 1.
+const ENVIRONMENTS: [Environment; 9] = [
+    Environment { reach: [3, 3, 3], partition: [0, 0, 0], lost: [0, 0, 0] },
+    Environment { reach: [1, 1, 1], partition: [0, 0, 0], lost: [2, 2, 2] },
+    Environment { reach: [1, 1, 2], partition: [0, 0, 1], lost: [2, 2, 1] },
+    Environment { reach: [3, 0, 3], partition: [0, 1, 0], lost: [0, UNSPECIFIED, 0] },
+    Environment { reach: [3, 3, 0], partition: [0, 0, 1], lost: [0, 0, UNSPECIFIED] },
+    Environment { reach: [1, 0, 1], partition: [0, 1, 0], lost: [2, UNSPECIFIED, 2] },
+    Environment { reach: [1, 1, 0], partition: [0, 0, 1], lost: [2, 2, UNSPECIFIED] },
+    Environment { reach: [3, 1, 3], partition: [0, 0, 0], lost: [0, 0, 0] },
+    Environment { reach: [3, 3, 1], partition: [0, 0, 0], lost: [0, 0, 2] },
 ];
 
-/// One step of time: how things stand in it, and whose notes are lost.
+/// One time step: the index of its environment, and the instance whose reports are lost.
 type Step = (usize, Option<usize>);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Run {
     now: u64,
-    judges: Vec<FailureDetector>,
-    notes: Vec<Option<SiteReport>>,
-    world: usize,
-    /// Steps since the world changed or a note was lost.
-    calm: u64,
-    changes: u8,
-    mutes: u8,
-    /// An instance that reached a site, or nobody, changed it to lost.
-    reached_lost: bool,
-    cut_off_lost: bool,
+    detectors: Vec<FailureDetector>,
+    reports: Vec<Option<SiteReport>>,
+    environment: usize,
+    /// Number of steps since the environment changed or a report was lost.
+    stable_steps: u64,
+    environment_changes: u8,
+    lost_reports: u8,
+    /// Whether an instance that reached a site declared it lost.
+    reachable_declared_lost: bool,
+    /// Whether an isolated instance declared a site lost.
+    isolated_declared_lost: bool,
 }
 
 struct Sites {
-    planted: Planted,
+    seeded_fault: SeededFault,
     steps: u64,
 }
 
@@ -80,19 +83,24 @@
 }
 
 impl Sites {
-    /// After so many calm steps all must hold what is so.
-    fn settled() -> u64 {
+    /// Returns the number of stable steps after which all detectors must have the correct states.
+    fn agreement_steps() -> u64 {
         agreement_time(&settings(), STEP).div_ceil(STEP)
     }
 
-    fn attempts(&self, run: &mut Run, d: usize, heard: &[usize]) {
+    fn attempts(&self, run: &mut Run, instance: usize, senders: &[usize]) {
         for zone in 0..2 {
-            let heard = HOMES[d] == zone || heard.iter().any(|&p| HOMES[p] == zone);
-            let dark = self.planted == Planted::ViewIsEvidence && !heard;
-            let own = self.planted == Planted::OwnRefusalsAnswer && zone == HOMES[d];
-            let reaches = WORLDS[run.world].reach[d] & 1 << zone > 0 && !dark;
-            let end = if own || reaches { AttemptOutcome::InTime } else { AttemptOutcome::Refused };
-            (0..3).for_each(|n| run.judges[d].record_attempt(run.now, zone as u64 * 3 + n, zone, end));
+            let hears_from_zone =
+                OWN_ZONES[instance] == zone || senders.iter().any(|&p| OWN_ZONES[p] == zone);
+            let is_silent = self.seeded_fault == SeededFault::SilenceIsFailure && !hears_from_zone;
+            let own_refusal =
+                self.seeded_fault == SeededFault::OwnRefusalIsAnswer && zone == OWN_ZONES[instance];
+            let reaches = ENVIRONMENTS[run.environment].reach[instance] & 1 << zone > 0 && !is_silent;
+            let outcome =
+                if own_refusal || reaches { AttemptOutcome::InTime } else { AttemptOutcome::Refused };
+            (0..3).for_each(|n| {
+                run.detectors[instance].record_attempt(run.now, zone as u64 * 3 + n, zone, outcome)
+            });
         }
     }
 }
@@ -102,106 +110,121 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Run> {
-        let judge = |&home: &Zone| {
-            let mut judge = FailureDetector::new(settings(), home, 2, 0, 0);
-            judge.update_servers(
+        let detector = |&own_zone: &Zone| {
+            let mut detector = FailureDetector::new(settings(), own_zone, 2, 0, 0);
+            detector.update_servers(
                 0,
                 (0..6).map(|key| ListedServer { key, zone: key as Zone / 3, serving: true }),
             );
-            judge
+            detector
         };
-        let judges = HOMES.iter().map(judge).collect();
-        vec![Run { judges, notes: vec![None; 3], ..Run::default() }]
+        let detectors = OWN_ZONES.iter().map(detector).collect();
+        vec![Run { detectors, reports: vec![None; 3], ..Run::default() }]
     }
 
     fn actions(&self, run: &Run, steps: &mut Vec<Step>) {
         if run.now < self.steps * STEP {
-            let worlds = (0..WORLDS.len()).filter(|&w| w == run.world || run.changes < 2);
-            let mute = |m: &Option<usize>| m.is_none() || run.mutes < 1;
-            let mutes = [None, Some(0), Some(1), Some(2)].into_iter().filter(mute);
-            steps.extend(worlds.flat_map(|world| mutes.clone().map(move |mute| (world, mute))));
+            let environments =
+                (0..ENVIRONMENTS.len()).filter(|&w| w == run.environment || run.environment_changes < 2);
+            let is_allowed = |m: &Option<usize>| m.is_none() || run.lost_reports < 1;
+            let lost_reports = [None, Some(0), Some(1), Some(2)].into_iter().filter(is_allowed);
+            steps.extend(environments.flat_map(|environment| {
+                lost_reports.clone().map(move |lost_report| (environment, lost_report))
+            }));
         }
     }
 
-    fn next_state(&self, was: &Run, (world, mute): Step) -> Option<Run> {
-        let (changed, muted) = (world != was.world, mute.is_some());
-        let calm = if changed || muted { 0 } else { was.calm + 1 };
-        let mut run = Run { now: was.now + STEP, world, calm, ..was.clone() };
-        (run.changes, run.mutes) = (run.changes + u8::from(changed), run.mutes + u8::from(muted));
-        let World { reach, group, .. } = &WORLDS[world];
-        let mut actions = Vec::new();
-        for d in [0, 1, 2] {
-            let hears = |from: &usize| *from != d && group[*from] == group[d] && mute != Some(*from);
-            let heard: Vec<usize> = (0..3).filter(hears).collect();
-            self.attempts(&mut run, d, &heard);
-            for from in (0..3).filter(|f| *f != d) {
-                let told = heard.contains(&from) || self.planted == Planted::NotesDoNotAge;
-                if let Some(note) = run.notes[from].as_ref().filter(|_| told) {
-                    run.judges[d].receive_report(run.now, from as u16, 0, note, &mut actions);
+    fn next_state(&self, previous: &Run, (environment, lost_report): Step) -> Option<Run> {
+        let (changed, report_lost) = (environment != previous.environment, lost_report.is_some());
+        let stable_steps = if changed || report_lost { 0 } else { previous.stable_steps + 1 };
+        let mut run = Run { now: previous.now + STEP, environment, stable_steps, ..previous.clone() };
+        (run.environment_changes, run.lost_reports) =
+            (run.environment_changes + u8::from(changed), run.lost_reports + u8::from(report_lost));
+        let Environment { reach, partition, .. } = &ENVIRONMENTS[environment];
+        let mut transitions = Vec::new();
+        for instance in [0, 1, 2] {
+            let is_received = |from: &usize| {
+                *from != instance && partition[*from] == partition[instance] && lost_report != Some(*from)
+            };
+            let senders: Vec<usize> = (0..3).filter(is_received).collect();
+            self.attempts(&mut run, instance, &senders);
+            for from in (0..3).filter(|f| *f != instance) {
+                let received = senders.contains(&from) || self.seeded_fault == SeededFault::ReportsDoNotAge;
+                if let Some(report) = run.reports[from].as_ref().filter(|_| received) {
+                    run.detectors[instance].receive_report(run.now, from as u16, 0, report, &mut transitions);
                 }
             }
-            // Twice, as the second weighs what the first has changed.
-            run.judges[d].evaluate(run.now, &mut actions);
-            run.judges[d].evaluate(run.now + STEP / 2, &mut actions);
-            for Transition { zone, to, .. } in actions.drain(..) {
-                run.reached_lost |= to == SiteState::Unreachable && reach[d] & 1 << zone > 0;
-                run.cut_off_lost |= to == SiteState::Unreachable && reach[d] == 0;
+            // Evaluated twice, because the second evaluation depends on the states set by the first.
+            run.detectors[instance].evaluate(run.now, &mut transitions);
+            run.detectors[instance].evaluate(run.now + STEP / 2, &mut transitions);
+            for Transition { zone, to, .. } in transitions.drain(..) {
+                run.reachable_declared_lost |=
+                    to == SiteState::Unreachable && reach[instance] & 1 << zone > 0;
+                run.isolated_declared_lost |= to == SiteState::Unreachable && reach[instance] == 0;
             }
         }
-        // What nobody hears leaves the note before as the latest that others have.
-        for d in (0..3).filter(|&d| (0..3).any(|to| to != d && group[to] == group[d])) {
-            let sights = run.judges[d].report(run.now + STEP / 2);
-            run.notes[d] =
-                Some(SiteReport { zone: HOMES[d] as u8, observations: sights, ..SiteReport::default() });
+        // An instance without peers in its partition sends no report, so its previous report stays the latest one.
+        for instance in
+            (0..3).filter(|&instance| (0..3).any(|to| to != instance && partition[to] == partition[instance]))
+        {
+            let observed = run.detectors[instance].report(run.now + STEP / 2);
+            run.reports[instance] = Some(SiteReport {
+                zone: OWN_ZONES[instance] as u8,
+                observations: observed,
+                ..SiteReport::default()
+            });
         }
         Some(run)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn lost(judge: &FailureDetector) -> u8 {
-            (0..2).map(|z| u8::from(judge.state(z) == SiteState::Unreachable) << z).sum()
+        fn lost(detector: &FailureDetector) -> u8 {
+            (0..2).map(|z| u8::from(detector.state(z) == SiteState::Unreachable) << z).sum()
         }
         let agree = |_: &Self, run: &Run| {
-            let should = WORLDS[run.world].lost.iter().zip(&run.judges);
-            run.calm < Sites::settled() || should.into_iter().all(|(&s, judge)| s == ANY || s == lost(judge))
+            let expected = ENVIRONMENTS[run.environment].lost.iter().zip(&run.detectors);
+            run.stable_steps < Sites::agreement_steps()
+                || expected.into_iter().all(|(&s, detector)| s == UNSPECIFIED || s == lost(detector))
         };
-        let back = |_: &Self, run: &Run| {
-            run.calm > 4 && run.changes == 2 && !run.judges.iter().any(FailureDetector::any_affected)
+        let recovered = |_: &Self, run: &Run| {
+            run.stable_steps > 4
+                && run.environment_changes == 2
+                && !run.detectors.iter().any(FailureDetector::any_affected)
         };
         vec![
-            Property::always("no doorman that reaches a site changes it to lost", |_, r: &Run| {
-                !r.reached_lost
+            Property::always("no instance that reaches a site declares it lost", |_, r: &Run| {
+                !r.reachable_declared_lost
             }),
-            Property::always("a doorman that is cut off changes no site to lost", |_, r: &Run| {
-                !r.cut_off_lost
+            Property::always("an isolated instance declares no site lost", |_, r: &Run| {
+                !r.isolated_declared_lost
             }),
-            Property::always("all agree with what is so within the stated time", agree),
-            Property::sometimes("a site is lost and comes back", back),
+            Property::always("all instances have the correct states within the agreement time", agree),
+            Property::sometimes("a site is lost and recovers", recovered),
         ]
     }
 }
 
-fn check(planted: Planted, steps: u64) -> Vec<&'static str> {
-    let checker = Sites { planted, steps }.checker().threads(4).spawn_bfs().join();
-    println!("{planted:?}: {} states", checker.unique_state_count());
+fn check(seeded_fault: SeededFault, steps: u64) -> Vec<&'static str> {
+    let checker = Sites { seeded_fault, steps }.checker().threads(4).spawn_bfs().join();
+    println!("{seeded_fault:?}: {} states", checker.unique_state_count());
     let found = checker.discoveries();
-    assert!(planted != Planted::Nothing || found.contains_key("a site is lost and comes back"));
+    assert!(seeded_fault != SeededFault::NoFault || found.contains_key("a site is lost and recovers"));
     found.into_keys().filter(|name| !name.starts_with("a site")).collect()
 }
 
 #[test]
-fn three_instances_judge_two_sites_rightly_whatever_happens() {
-    assert_eq!(check(Planted::Nothing, 11), Vec::<&str>::new());
+fn three_detectors_of_two_sites_satisfy_all_properties_in_every_run() {
+    assert_eq!(check(SeededFault::NoFault, 11), Vec::<&str>::new());
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    for (planted, property) in [
-        (Planted::ViewIsEvidence, "no doorman that reaches a site changes it to lost"),
-        (Planted::NotesDoNotAge, "all agree with what is so within the stated time"),
-        (Planted::OwnRefusalsAnswer, "a doorman that is cut off changes no site to lost"),
+fn each_seeded_fault_violates_its_property() {
+    for (seeded_fault, property) in [
+        (SeededFault::SilenceIsFailure, "no instance that reaches a site declares it lost"),
+        (SeededFault::ReportsDoNotAge, "all instances have the correct states within the agreement time"),
+        (SeededFault::OwnRefusalIsAnswer, "an isolated instance declares no site lost"),
     ] {
-        let found = check(planted, 8);
-        assert!(found.contains(&property), "{planted:?}: {found:?}");
+        let found = check(seeded_fault, 8);
+        assert!(found.contains(&property), "{seeded_fault:?}: {found:?}");
     }
 }
