--- a/tests/core_decisions/membership.rs
+++ b/tests/core_decisions/membership.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: whole lists, single entries, drains, restarts and moves of addresses.
+//! The endpoint list: complete lists, updates of single entries, drains, restarts and changes of addresses.
 
 use crate::digest::{expect, Digest};
 use larchdale::endpoints::{Change, Connections, EndpointList, Entry};
@@ -8,7 +8,7 @@
 
 const STEPS: usize = 12_000;
 const ENDPOINTS: u8 = 12;
-const MOST: usize = 9;
+const MAX_ENTRIES: usize = 9;
 
 fn name(number: u8) -> String {
     format!("b{number}")
@@ -51,21 +51,21 @@
 }
 
 fn write_change(digest: &mut Digest, change: &Change) {
-    let member = &change.endpoint;
-    digest.text(&member.id);
-    digest.tag(role_tag(member.role));
-    digest.tag(listed_tag(member.state));
-    digest.count(member.zone);
-    digest.number(u64::from(member.cell));
-    digest.number(u64::from(member.kind));
-    digest.float(member.weight);
-    digest.number(member.started_at);
+    let endpoint = &change.endpoint;
+    digest.text(&endpoint.id);
+    digest.tag(role_tag(endpoint.role));
+    digest.tag(listed_tag(endpoint.state));
+    digest.count(endpoint.zone);
+    digest.number(u64::from(endpoint.cell));
+    digest.number(u64::from(endpoint.kind));
+    digest.float(endpoint.weight);
+    digest.number(endpoint.started_at);
     digest.text(&change.address.to_string());
     match change.connections {
         Connections::Keep => digest.tag(1),
-        Connections::ReplaceBefore(moment) => {
+        Connections::ReplaceBefore(before) => {
             digest.tag(2);
-            digest.number(moment);
+            digest.number(before);
         }
         Connections::End => digest.tag(3),
     }
@@ -89,26 +89,26 @@
     digest.count(list.entries().count());
 }
 
-fn play(seed: u64) -> u64 {
+fn run(seed: u64) -> u64 {
     let (mut rng, mut digest) = (Pcg32::seed_from_u64(seed), Digest::new());
-    let (mut list, mut now) = (EndpointList::new(MOST), 1_000);
+    let (mut list, mut now) = (EndpointList::new(MAX_ENTRIES), 1_000);
     for _ in 0..STEPS {
         now += rng.random_range(0..500);
         let id = name(rng.random_range(0..ENDPOINTS));
         match rng.random_range(0..40) {
             0..20 => {
                 let entry = entry(&mut rng, now);
-                let refused = list.upsert(now, entry).err();
-                digest.option(refused, |digest, many| digest.count(many.count));
+                let rejected = list.upsert(now, entry).err();
+                digest.option(rejected, |digest, many| digest.count(many.count));
             }
             20..22 => {
-                // One entry of each endpoint at most: whole lists name each once.
+                // At most one entry per endpoint, because a complete list names each endpoint once.
                 let mut entries: Vec<Entry> =
                     (0..rng.random_range(4..14)).map(|_| entry(&mut rng, now)).collect();
                 entries.sort_by(|a, b| a.id.cmp(&b.id));
                 entries.dedup_by(|a, b| a.id == b.id);
-                let refused = list.replace_all(now, entries).err();
-                digest.option(refused, |digest, many| digest.count(many.count));
+                let rejected = list.replace_all(now, entries).err();
+                digest.option(rejected, |digest, many| digest.count(many.count));
             }
             22..26 => list.remove(now, &id),
             26..29 => list.close(now, &id),
@@ -116,7 +116,7 @@
             _ => {
                 let mut changes = Vec::new();
                 list.take_changes(usize::MAX, &mut changes);
-                // Urgent ones come first; within a whole list the order is that of a hash map.
+                // Urgent changes come first; within a complete list the order is that of a hash map.
                 changes.iter().for_each(|change| digest.tag(listed_tag(change.endpoint.state)));
                 changes.sort_by(|a, b| a.endpoint.id.cmp(&b.endpoint.id));
                 changes.iter().for_each(|change| write_change(&mut digest, change));
@@ -130,10 +130,10 @@
 }
 
 #[test]
-fn the_list_decides_as_before() {
+fn the_endpoint_list_makes_the_recorded_decisions() {
     expect(
-        "the list of depots",
-        play,
+        "endpoint list",
+        run,
         &[0x0fd134c3abbfa757, 0x072e7aed8ee448c6, 0xf6b20a12a7bc9877, 0xda46da341ea3c29b],
     );
 }
--- a/tests/core_decisions/site_plans.rs
+++ b/tests/core_decisions/site_plans.rs
@@ -1,4 +1,4 @@
-//! Plans for lost sites, the guidance by them, the order of refusal, and what they are made from.
+//! Plans for lost sites, the constraints derived from them, the order of rejection, and the estimated inputs of plans.
 
 use crate::digest::{expect, Digest};
 use larchdale::failover::load_shift::constraints::ConstraintQuery;
@@ -17,7 +17,7 @@
 
 const FLEETS: usize = 12;
 
-fn class(uncacheable: bool, effect: Idempotency) -> Class {
+fn class(uncacheable: bool, idempotency_of_class: Idempotency) -> Class {
     let (fresh, grace) = if uncacheable { (0, 0) } else { (30_000_000, 30_000_000) };
     Class {
         fresh_for: fresh,
@@ -25,7 +25,7 @@
         uncacheable,
         latency_objective: 1,
         latency_objective_stretch: 1.0,
-        idempotency: effect,
+        idempotency: idempotency_of_class,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
     }
@@ -40,12 +40,12 @@
     ]
 }
 
-fn figures(rng: &mut Pcg32, count: usize, most: f64) -> Vec<f64> {
-    let mut figure = |_| if rng.random_ratio(1, 4) { 0.0 } else { rng.random_range(0.0..most) };
-    (0..count).map(&mut figure).collect()
+fn random_values(rng: &mut Pcg32, count: usize, max: f64) -> Vec<f64> {
+    let mut value = |_| if rng.random_ratio(1, 4) { 0.0 } else { rng.random_range(0.0..max) };
+    (0..count).map(&mut value).collect()
 }
 
-fn some_inputs(rng: &mut Pcg32) -> Inputs {
+fn random_inputs(rng: &mut Pcg32) -> Inputs {
     let zones = rng.random_range(1..5);
     let mut target = |server: String, role| Target {
         server: server.into(),
@@ -61,11 +61,11 @@
     Inputs {
         zones,
         targets,
-        link_capacity: figures(rng, zones, 50.0),
-        load: (0..zones).map(|_| figures(rng, 4, 40.0)).collect(),
-        miss_ratio: figures(rng, 4, 1.0),
-        parent_miss_ratio: figures(rng, 4, 1.0),
-        priority_weight: figures(rng, 4, 10.0),
+        link_capacity: random_values(rng, zones, 50.0),
+        load: (0..zones).map(|_| random_values(rng, 4, 40.0)).collect(),
+        miss_ratio: random_values(rng, 4, 1.0),
+        parent_miss_ratio: random_values(rng, 4, 1.0),
+        priority_weight: random_values(rng, 4, 10.0),
         classes: classes(),
         settings: Settings {
             floor: rng.random_range(0.0..0.3),
@@ -96,19 +96,19 @@
     digest.flag(plan.keeps_floors);
 }
 
-fn write_guidance(digest: &mut Digest, guidance: &Constraints) {
-    digest.number(guidance.window);
-    for bound in &guidance.rate_limits {
-        digest.text(&bound.endpoint);
-        digest.float(bound.rate);
+fn write_constraints(digest: &mut Digest, constraints: &Constraints) {
+    digest.number(constraints.window);
+    for limit in &constraints.rate_limits {
+        digest.text(&limit.endpoint);
+        digest.float(limit.rate);
     }
-    guidance.fill_rates.iter().for_each(|&fill| digest.option(fill, Digest::float));
-    digest.flag(guidance.force_stale);
-    digest.flag(guidance.bypass_caches);
-    digest.number(guidance.retry_after.0);
-    digest.number(guidance.retry_after.1);
-    guidance.cross_zone_caches.iter().for_each(|id| digest.text(id));
-    digest.count(guidance.shards.len());
+    constraints.fill_rates.iter().for_each(|&fill| digest.option(fill, Digest::float));
+    digest.flag(constraints.force_stale);
+    digest.flag(constraints.bypass_caches);
+    digest.number(constraints.retry_after.0);
+    digest.number(constraints.retry_after.1);
+    constraints.cross_zone_caches.iter().for_each(|id| digest.text(id));
+    digest.count(constraints.shards.len());
 }
 
 fn write_step(digest: &mut Digest, step: RejectionStep) {
@@ -132,17 +132,17 @@
     }
 }
 
-fn play(seed: u64) -> u64 {
-    let (mut rng, mut digest, mut refusing) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
+fn run(seed: u64) -> u64 {
+    let (mut rng, mut digest, mut rejecting) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
     for _ in 0..FLEETS {
-        let inputs = some_inputs(&mut rng);
+        let inputs = random_inputs(&mut rng);
         write_order(&mut digest, &inputs);
         let plans = Plans::make(&inputs).unwrap();
         digest.number(u64::from(plans.number()));
         for lost in 0..1u32 << inputs.zones {
             let lost: Vec<Zone> = (0..inputs.zones).filter(|zone| lost >> zone & 1 == 1).collect();
             let plan = plans.for_lost(&lost);
-            refusing += usize::from(plan.rejects());
+            rejecting += usize::from(plan.rejects());
             write_plan(&mut digest, &plan);
         }
         for zone in 0..inputs.zones {
@@ -150,7 +150,7 @@
             digest.flag(plans.survives_loss(zone, &factors));
             let factors: Vec<f64> =
                 (0..inputs.zones).map(|_| [0.0, 0.4, 1.0, 1.0][rng.random_range(0..4)]).collect();
-            let asked = ConstraintQuery {
+            let query = ConstraintQuery {
                 zone,
                 zone_instances: rng.random_range(0..3),
                 all_instances: rng.random_range(3..8),
@@ -160,19 +160,19 @@
                 expected_return: rng.random_range(0..9_000_000),
                 learning_share: rng.random_bool(0.3).then_some(0.1),
             };
-            write_guidance(&mut digest, &plans.constraints(&asked));
+            write_constraints(&mut digest, &plans.constraints(&query));
         }
     }
-    assert!(refusing > 10, "too calm: {refusing}");
+    assert!(rejecting > 10, "too few plans that reject requests: {rejecting}");
     digest.finish()
 }
 
-/// What plans are made from, out of settings and a list.
-fn made_inputs(seed: u64) -> u64 {
+/// Returns the digest of the inputs of plans estimated from settings and endpoint lists.
+fn estimated_inputs(seed: u64) -> u64 {
     let (mut rng, mut digest) = (Pcg32::seed_from_u64(seed), Digest::new());
     for _ in 0..100 {
         let zones = rng.random_range(1..5);
-        let member = |rng: &mut Pcg32, number: usize| Endpoint {
+        let endpoint = |rng: &mut Pcg32, number: usize| Endpoint {
             id: format!("s{number}").into(),
             role: [Role::Cache, Role::Cache, Role::Parent, Role::Origin][rng.random_range(0..4)],
             state: [
@@ -185,39 +185,39 @@
             weight: [0.0, 1.0, 2.5][rng.random_range(0..3)],
             ..Endpoint::default()
         };
-        let servers: Vec<Endpoint> = (0..9).map(|number| member(&mut rng, number)).collect();
+        let servers: Vec<Endpoint> = (0..9).map(|number| endpoint(&mut rng, number)).collect();
         let settings = events::Settings {
             transfer_rate_kb_s: rng.random_range(0.0..900.0),
-            zone_link_kb_s: figures(&mut rng, zones, 1e5),
+            zone_link_kb_s: random_values(&mut rng, zones, 1e5),
             classes: classes(),
             weights_are_sizes: rng.random_bool(0.5),
             routers_by_zone: vec![1; zones],
             ..Default::default()
         };
-        let worth = figures(&mut rng, 3, 5.0);
-        let made = estimate_inputs(&settings, &worth, &servers, &Settings::default());
-        digest.count(made.zones);
-        for target in &made.targets {
+        let priority_weight = random_values(&mut rng, 3, 5.0);
+        let inputs = estimate_inputs(&settings, &priority_weight, &servers, &Settings::default());
+        digest.count(inputs.zones);
+        for target in &inputs.targets {
             digest.text(&target.server);
             digest.count(target.zone);
             digest.float(target.capacity);
             digest.float(target.price);
         }
-        made.load.iter().for_each(|load| digest.floats(load));
-        [&made.link_capacity, &made.miss_ratio, &made.parent_miss_ratio, &made.priority_weight]
+        inputs.load.iter().for_each(|load| digest.floats(load));
+        [&inputs.link_capacity, &inputs.miss_ratio, &inputs.parent_miss_ratio, &inputs.priority_weight]
             .into_iter()
             .for_each(|values| digest.floats(values));
-        digest.flag(made.may_bypass_caches);
+        digest.flag(inputs.may_bypass_caches);
     }
     digest.finish()
 }
 
 #[test]
-fn plans_and_guidance_are_as_before() {
-    expect("the plans for lost sites", play, &[0x9c874a96f3017c98, 0x022994c486d8b09c, 0xd8992e820b337583]);
+fn plans_and_constraints_are_as_recorded() {
+    expect("plans for lost sites", run, &[0x9c874a96f3017c98, 0x022994c486d8b09c, 0xd8992e820b337583]);
 }
 
 #[test]
-fn inputs_of_plans_are_as_before() {
-    expect("the inputs of plans", made_inputs, &[0xf4d97d71795fbd9c]);
+fn estimated_inputs_of_plans_are_as_recorded() {
+    expect("estimated inputs of plans", estimated_inputs, &[0xf4d97d71795fbd9c]);
 }
