--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,148 +1,149 @@
-//! The datagrams that instances send each other: a version byte, a head, and as many updates as fit; in version 2 the
-//! number of updates stands before them, and notes follow. Any bytes are read without a panic; what is no datagram of
-//! these versions is an error.
+//! The gossip datagrams: a version byte, a head, and as many updates as fit. In version 2 the number of updates
+//! precedes them, and notes follow. Decoding never panics; bytes that are not a datagram of these versions are an
+//! error.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the form without notes.
+/// Version of datagrams without notes.
 pub const VERSION_WITHOUT_NOTES: u8 = 1;
-/// Version of the form with notes: only datagrams that carry one have it, so that instances which know version 1 alone
-/// read all others. Other versions than these two are not read.
+/// Version of datagrams with notes. Datagrams without a note keep version 1, so that instances that know only version 1
+/// can read them. Other versions than these two are rejected.
 pub const VERSION_WITH_NOTES: u8 = 2;
-/// Most bytes of a datagram: longer ones are not allowed between instances.
+/// Maximum length of a datagram in bytes; longer ones are not allowed between instances.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// An instance, by its number among all of its tier.
+/// Number of an instance among all instances of its tier.
 pub type MemberId = u16;
-/// Which process of an instance, and how often it has denied its death: higher is later.
+/// Incarnation of an instance: identifies its process and grows with each refutation; higher is later.
 pub type Incarnation = u64;
 
-/// Incarnations from here on are no instance's: a claim of one would leave no room to deny it.
+/// Upper bound of incarnations, exclusive: a claim of a higher one could not be refuted.
 pub const INCARNATION_LIMIT: Incarnation = 1 << 62;
 
-/// What is held of a member. In one incarnation the later ones here go before the earlier ones.
+/// State of a member. Within one incarnation, a later variant supersedes an earlier one.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It did not answer somebody, and may yet deny it.
+    /// The member did not answer another member, and may still refute the suspicion.
     Suspect,
-    /// It did not answer and has not denied it in time.
+    /// The member did not answer and did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
-/// One member as the sender sees it.
+/// State of one member in the sender's view.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, Serialize)]
 pub struct Update {
-    /// Whom it is about.
+    /// The member.
     pub member: MemberId,
-    /// In which incarnation.
+    /// Incarnation of the member to which the state applies.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// State of the member.
     pub state: State,
-    /// Who suspects it.
+    /// Member that suspects it.
     pub accuser: MemberId,
 }
 
-/// What an instance says of itself, as it is told on.
+/// A few bytes that an instance publishes about itself and other members forward.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Hash, Serialize)]
 pub struct Note {
-    /// Whose it is.
+    /// Member that published the note.
     pub member: MemberId,
-    /// In which incarnation it was written.
+    /// Incarnation of the member in which it published the note.
     pub incarnation: Incarnation,
-    /// Which of that instance's notes: higher is later.
+    /// Sequence number of the note within the incarnation; higher is later.
     pub sequence: u32,
-    /// Milliseconds since its instance wrote it or wrote it anew: what its holders kept it, without its ways.
+    /// Milliseconds since the note was published or renewed: the sum of the times it was stored at members, without the
+    /// transit times between them.
     pub age_ms: u16,
-    /// At most [`Note::MAX_BYTES`].
+    /// Content, at most [`Note::MAX_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
 impl Note {
-    /// Most bytes of a note.
+    /// Maximum length of a note's content in bytes.
     pub const MAX_BYTES: usize = crate::failover::site_report::MAX_BYTES;
 }
 
-/// Most bytes of an encoded note: its content after member, incarnation, sequence, age and length. So many are kept free
-/// of updates where a note is to go along.
+/// Maximum length of an encoded note in bytes: content, member, incarnation, sequence, age and length. A datagram with
+/// notes reserves this space, so that updates do not displace the first note.
 const MAX_ENCODED_NOTE_BYTES: usize = Note::MAX_BYTES + 3 + 9 + 5 + 3 + 1;
 
-/// What a datagram says.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// See [`Head`].
+    /// Head of the datagram.
     pub head: Head,
-    /// What its sender holds of some members.
+    /// States of some members in the sender's view.
     pub updates: Vec<Update>,
-    /// Notes of some, its sender's among them.
+    /// Notes of some members, which may include the sender's.
     pub notes: Vec<Note>,
 }
 
-/// What a datagram is for, beside its updates.
+/// Purpose of a datagram besides carrying updates.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, Serialize)]
 pub enum Kind {
-    /// Answer this.
+    /// Asks the receiver for an `Ack`.
     Ping(u32),
-    /// Ping that member.
+    /// Asks the receiver to ping another member.
     PingReq {
-        /// The sequence of the sender's own probe.
+        /// Sequence number of the sender's own probe.
         sequence: u32,
-        /// Whom to ping.
+        /// Member to ping.
         target: MemberId,
     },
-    /// The answer to a ping, also to one that was asked for.
+    /// Answers a ping or, once the target has answered, a ping request.
     Ack(u32),
-    /// The member that was to be asked has not answered yet; who says so does.
+    /// Answers a ping request whose target has not answered in time; shows that the sender itself is reachable.
     Nack(u32),
-    /// Nothing but the updates.
+    /// Carries only updates.
     Updates,
 }
 
-/// What stands at the head.
+/// Head of a datagram.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash, Serialize)]
 pub struct Head {
     /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// See [`Kind`].
+    /// Purpose of the datagram.
     pub kind: Kind,
 }
 
-/// Why bytes are no datagram.
+/// Reason why bytes are not a valid datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Longer than may be, or empty.
-    #[error("empty or over 256 bytes; see what sends to the address of the gossip")]
+    /// The datagram is empty or exceeds the maximum length.
+    #[error("datagram is empty or longer than 256 bytes; check what sends to the gossip address")]
     Length,
-    /// Of another version.
-    #[error("of another version; finish the upgrade of the fleet")]
+    /// The datagram has an unsupported version.
+    #[error("datagram has an unsupported version; finish the upgrade of the fleet")]
     Version,
-    /// Cut off, or not in this form.
-    #[error("cut off or not in this form; see what sends to the address of the gossip")]
+    /// The datagram is truncated or malformed.
+    #[error("datagram is truncated or malformed; check what sends to the gossip address")]
     Form,
-    /// A figure that no instance can mean.
-    #[error("an incarnation or a note out of range; see what sends to the address of the gossip")]
+    /// A value is out of range.
+    #[error("datagram has an incarnation or a note out of range; check what sends to the gossip address")]
     Range,
 }
 
-/// A datagram as it is sent.
+/// An encoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Encoded {
-    /// At most [`MAX_DATAGRAM_BYTES`].
+    /// The datagram, at most [`MAX_DATAGRAM_BYTES`] long.
     pub bytes: Vec<u8>,
-    /// How many updates found room.
+    /// Number of updates that fit.
     pub updates: usize,
-    /// How many notes did.
+    /// Number of notes that fit.
     pub notes: usize,
 }
 
-/// Writes a datagram with updates and notes in their order, as many as fit. Without notes it is of version 1. Notes longer
-/// than [`Note::MAX_BYTES`] must not be given.
+/// Encodes a datagram with as many updates and notes as fit, in order. Without notes the datagram has version 1. No
+/// note may be longer than [`Note::MAX_BYTES`].
 pub fn encode(head: &Head, updates: impl IntoIterator<Item = Update>, notes: &[Note]) -> Encoded {
     let version = if notes.is_empty() { VERSION_WITHOUT_NOTES } else { VERSION_WITH_NOTES };
-    let mut bytes = postcard::to_extend(head, vec![version]).expect("a growing buffer has room for any head");
+    let mut bytes = postcard::to_extend(head, vec![version]).expect("a growing buffer can hold any head");
     if version == VERSION_WITHOUT_NOTES {
         let updates = append(&mut bytes, updates, MAX_DATAGRAM_BYTES);
         return Encoded { bytes, updates, notes: 0 };
@@ -150,18 +151,18 @@
     let count_at = bytes.len();
     bytes.push(0);
     let updates = append(&mut bytes, updates, MAX_DATAGRAM_BYTES - MAX_ENCODED_NOTE_BYTES);
-    // An update takes four bytes at least, so that 255 never fit.
+    // An update takes at least four bytes, so the count always fits into one byte.
     bytes[count_at] = updates as u8;
     let notes = append(&mut bytes, notes, MAX_DATAGRAM_BYTES);
     Encoded { bytes, updates, notes }
 }
 
-/// Appends items while all of them stay within `max_bytes`; how many found room.
+/// Appends items while the datagram stays within `max_bytes`. Returns the number of items appended.
 fn append<T: Serialize>(bytes: &mut Vec<u8>, items: impl IntoIterator<Item = T>, max_bytes: usize) -> usize {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut count = 0;
     for item in items {
-        // One that does not even fit the buffer is longer than a datagram.
+        // An item that does not fit into the buffer is longer than a datagram.
         let Ok(encoded) = postcard::to_slice(&item, &mut buffer) else { break };
         if bytes.len() + encoded.len() > max_bytes {
             break;
@@ -172,10 +173,10 @@
     count
 }
 
-/// Reads a datagram; any bytes are read without a panic.
+/// Decodes a datagram without panicking on any input.
 ///
 /// # Errors
-/// The bytes are no datagram of these versions, or claim what no instance can mean.
+/// The bytes are not a datagram of these versions, or contain a value out of range.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let (&version, rest) = bytes.split_first().ok_or(DecodeError::Length)?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -184,7 +185,7 @@
     if ![VERSION_WITHOUT_NOTES, VERSION_WITH_NOTES].contains(&version) {
         return Err(DecodeError::Version);
     }
-    let (head, mut rest) = take::<Head>(rest)?;
+    let (head, mut rest) = decode_item::<Head>(rest)?;
     let mut update_count = None;
     if version == VERSION_WITH_NOTES {
         let (&count, after) = rest.split_first().ok_or(DecodeError::Form)?;
@@ -193,12 +194,12 @@
     }
     let (mut updates, mut notes) = (Vec::new(), Vec::new());
     while update_count.map_or(!rest.is_empty(), |count| updates.len() < count) {
-        let (update, after) = take::<Update>(rest)?;
+        let (update, after) = decode_item::<Update>(rest)?;
         updates.push(update);
         rest = after;
     }
     while !rest.is_empty() {
-        let (note, after) = take::<Note>(rest)?;
+        let (note, after) = decode_item::<Note>(rest)?;
         notes.push(note);
         rest = after;
     }
@@ -210,7 +211,7 @@
     }
 }
 
-fn take<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(T, &'a [u8]), DecodeError> {
+fn decode_item<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<(T, &'a [u8]), DecodeError> {
     postcard::take_from_bytes(bytes).map_err(|_| DecodeError::Form)
 }
 
