--- a/src/gossip/dissemination.rs
+++ b/src/gossip/dissemination.rs
@@ -1,37 +1,38 @@
-//! Dissemination: which updates go along with a datagram.
+//! Dissemination: selects the updates that are piggybacked on each datagram.
 
 use super::membership::Membership;
 use super::message::{encode, Head, Kind, MemberId, State, Update};
 use super::{Action, Gossip};
 use crate::routing::events::Micros;
 
-/// Entries of the table that go along where no fresh update does, so that what was lost for all is told again.
+/// Number of table entries that are added to each datagram as far as they fit, so that an update that was lost on the
+/// way to all members is sent again.
 const REFRESHED_ENTRIES: usize = 4;
 
-/// An update that still goes along with datagrams.
+/// An update that is still being sent with datagrams.
 #[derive(Clone, Debug)]
 pub(super) struct FreshUpdate {
     update: Update,
     transmissions: u32,
 }
 
-/// What is to be told.
+/// Updates to be disseminated.
 #[derive(Clone, Debug)]
 pub(super) struct Dissemination {
-    /// At most one a member.
+    /// Fresh updates, at most one per member.
     pub(super) fresh: Vec<FreshUpdate>,
-    /// With how many datagrams an update goes along.
+    /// Number of datagrams that each update is sent with.
     max_transmissions: u32,
-    /// The entry of the table that was last told again.
+    /// Table entry that was refreshed last.
     last_refreshed: usize,
 }
 
-/// The updates for one datagram, in their order.
+/// Updates selected for one datagram, in order.
 struct Selection {
     updates: Vec<Update>,
-    /// How many of them, at the head, tell the receiver what is held of itself.
+    /// Number of updates at the start of the list that concern the receiver itself.
     of_receiver: usize,
-    /// The members of the fresh updates, which follow.
+    /// Members of the fresh updates, which follow those on the receiver.
     fresh: Vec<MemberId>,
 }
 
@@ -40,18 +41,18 @@
         Dissemination { fresh: Vec::new(), max_transmissions, last_refreshed: 0 }
     }
 
-    /// An update is to be told to all; it takes the place of an earlier one on the same member.
+    /// Queues an update for all members; it replaces an earlier one on the same member.
     pub fn announce(&mut self, update: Update) {
         self.fresh.retain(|fresh| fresh.update.member != update.member);
         self.fresh.push(FreshUpdate { update, transmissions: 0 });
     }
 
-    /// What a datagram may carry: first what is held of the receiver where it should know, then fresh updates, the least
-    /// told first, then some of the table in turn.
+    /// Selects updates for a datagram: first the state of the receiver, unless it is the initial one, then fresh
+    /// updates, those with the fewest transmissions first, then some table entries in turn.
     fn select(&mut self, to: MemberId, membership: &Membership) -> Selection {
         let mut updates = Vec::new();
         let of_receiver = membership.update(to);
-        // Also where it is alive: it may have come back with an earlier incarnation than it had.
+        // Sent also if the receiver is alive: it may have restarted with an earlier incarnation than before.
         if of_receiver.incarnation > 0 || of_receiver.state != State::Alive {
             updates.push(of_receiver);
         }
@@ -69,7 +70,7 @@
         Selection { updates, of_receiver, fresh }
     }
 
-    /// Counts that these fresh updates went along with a datagram; those told often enough are dropped.
+    /// Counts a transmission of these fresh updates, and drops those that were sent often enough.
     fn transmitted(&mut self, members: &[MemberId]) {
         for fresh in self.fresh.iter_mut().filter(|fresh| members.contains(&fresh.update.member)) {
             fresh.transmissions += 1;
@@ -79,12 +80,12 @@
 }
 
 impl Gossip {
-    /// What is held of a member is to be told to all.
+    /// Queues the current state of a member for all members.
     pub(super) fn announce(&mut self, member: MemberId) {
         self.dissemination.announce(self.membership.update(member));
     }
 
-    /// Sends a datagram with as many updates as fit, and notes after them.
+    /// Sends a datagram with as many updates as fit, followed by notes.
     pub(super) fn send(&mut self, now: Micros, to: MemberId, kind: Kind, actions: &mut Vec<Action>) {
         let Selection { updates, of_receiver, fresh } = self.dissemination.select(to, &self.membership);
         let head = Head { incarnation: self.membership.own_incarnation(), kind };
--- a/src/gossip/health.rs
+++ b/src/gossip/health.rs
@@ -1,27 +1,27 @@
-//! Local health: an instance that hears little itself is slower to take others for silent.
+//! Local health (Lifeguard): an instance that receives few answers itself takes longer to suspect others.
 
 use crate::routing::events::Micros;
 
-/// Most steps that local health can get worse by.
-const MAX_STEPS: u32 = 8;
+/// Maximum local health score.
+const MAX_SCORE: u32 = 8;
 
-/// By how many steps this instance's health is worse than good.
+/// Local health score: 0 is good, higher is worse.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LocalHealth {
-    steps: u32,
+    score: u32,
 }
 
 impl LocalHealth {
-    pub fn worsen(&mut self, steps: u32) {
-        self.steps = (self.steps + steps).min(MAX_STEPS);
+    pub fn worsen(&mut self, points: u32) {
+        self.score = (self.score + points).min(MAX_SCORE);
     }
 
     pub fn improve(&mut self) {
-        self.steps = self.steps.saturating_sub(1);
+        self.score = self.score.saturating_sub(1);
     }
 
-    /// A span of time, longer by half of itself for each step.
-    pub fn stretch(self, span: Micros) -> Micros {
-        span + span * Micros::from(self.steps) / 2
+    /// Returns a duration extended by half of its length for each point of the score.
+    pub fn stretch(self, duration: Micros) -> Micros {
+        duration + duration * Micros::from(self.score) / 2
     }
 }
