--- a/src/gossip/config.rs
+++ b/src/gossip/config.rs
@@ -1,33 +1,35 @@
-//! How an instance probes the others and spreads what it knows.
+//! Configuration of probing, suspicion and dissemination.
 
 use super::message::MemberId;
 use crate::routing::events::Micros;
 
-/// How an instance keeps its view.
+/// Configuration of one instance's gossip.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Its own number.
+    /// Number of this instance.
     pub me: MemberId,
-    /// How many instances there are at most: the numbers below this.
+    /// Maximum number of instances; all member numbers are below this.
     pub members: MemberId,
-    /// One member is probed in each.
+    /// Length of a protocol period, in microseconds; one member is probed in each.
     pub probe_period: Micros,
-    /// After so long without an answer other members are asked to probe.
+    /// Time without an answer after which other members are asked to probe, in microseconds.
     pub probe_timeout: Micros,
-    /// How many other members are asked.
+    /// Number of other members that are asked to probe.
     pub indirect_probes: usize,
-    /// An update goes along with so many datagrams, times the binary logarithm of the number of members.
+    /// Factor by which the binary logarithm of the number of members is multiplied to give the number of transmissions
+    /// of an update.
     pub dissemination_factor: f64,
-    /// Periods that a suspicion lasts at least, times the decimal logarithm of the number of members from 10 on.
+    /// Minimum number of periods that a suspicion lasts with up to 10 members; with more members it is multiplied by
+    /// the decimal logarithm of their number.
     pub min_suspicion_periods: f64,
-    /// A suspicion that no other member confirms lasts so many times as long.
+    /// Factor by which a suspicion without confirmations lasts longer than the minimum.
     pub unconfirmed_factor: f64,
-    /// Confirmations that bring a suspicion down to its shortest.
+    /// Number of confirmations that shorten a suspicion to its minimum.
     pub confirmations: usize,
 }
 
 impl Config {
-    /// The ordinary configuration for so many members.
+    /// Returns the default configuration for this number of members.
     pub fn of(me: MemberId, members: MemberId) -> Self {
         Config {
             me,
@@ -42,24 +44,25 @@
         }
     }
 
-    /// With how many datagrams an update or a note goes along.
+    /// Returns the number of datagrams that an update or a note is sent with.
     pub(super) fn transmissions(&self) -> u32 {
         (self.dissemination_factor * f64::from(self.members.saturating_add(1)).log2()).ceil() as u32
     }
 
-    /// The shortest suspicion.
+    /// Returns the minimum duration of a suspicion.
     pub(super) fn min_suspicion(&self) -> Micros {
         let size_factor = f64::from(self.members).log10().max(1.0);
         (self.probe_period as f64 * self.min_suspicion_periods * size_factor) as Micros
     }
 
-    /// How long a suspicion lasts on which so many members agree.
-    pub(super) fn suspicion(&self, accusers: usize) -> Micros {
+    /// Returns the duration of a suspicion that has this number of accusers.
+    pub(super) fn suspicion_duration(&self, accusers: usize) -> Micros {
         let min_suspicion = self.min_suspicion();
         let (shortest, longest) = (min_suspicion, min_suspicion as f64 * self.unconfirmed_factor);
-        // The first accuser begins the suspicion, those after it confirm it.
-        let confirmed = accusers.saturating_sub(1) as f64;
-        let part = (confirmed + 1.0).ln() / (self.confirmations as f64 + 1.0).ln().max(f64::MIN_POSITIVE);
-        (longest - (longest - shortest as f64) * part.min(1.0)) as Micros
+        // The first accuser starts the suspicion, all others confirm it.
+        let confirmation_count = accusers.saturating_sub(1) as f64;
+        let shortening =
+            (confirmation_count + 1.0).ln() / (self.confirmations as f64 + 1.0).ln().max(f64::MIN_POSITIVE);
+        (longest - (longest - shortest as f64) * shortening.min(1.0)) as Micros
     }
 }
--- a/src/gossip/membership.rs
+++ b/src/gossip/membership.rs
@@ -1,42 +1,42 @@
-//! The membership table: what this instance holds of each member.
+//! The membership table: this instance's view of each member.
 //!
-//! What is held is ordered by incarnation, then by state, and only ever moves up: tables that have taken the same updates
-//! agree, in whatever order and however often those came.
+//! Entries are ordered by incarnation, then by state, and only ever move up in this order. So tables that have
+//! processed the same updates agree, whatever the order and the number of repetitions.
 
 use super::message::{Incarnation, MemberId, State, Update, INCARNATION_LIMIT};
 use crate::routing::events::Micros;
 use std::collections::BTreeSet;
 
-/// A suspicion of which this instance knows.
+/// A suspicion known to this instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Suspicion {
     pub since: Micros,
-    /// The members that suspect it, in the order in which this instance learned of them.
+    /// Members that suspect the member, in the order in which this instance learned of them.
     pub accusers: Vec<MemberId>,
 }
 
-/// What is held of one member.
+/// Entry of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Member {
     pub incarnation: Incarnation,
     pub state: State,
-    /// When a datagram of its own last came, of this incarnation.
+    /// Time of the last datagram received from the member in this incarnation.
     pub last_contact: Option<Micros>,
     pub suspicion: Option<Suspicion>,
 }
 
-/// What is held of all members, by number.
+/// Entries of all members, by number.
 #[derive(Clone, Debug)]
 pub(super) struct Membership {
     me: MemberId,
     members: Vec<Member>,
-    /// Those under suspicion and those that are dead: both are few, so that no datagram costs a walk over all members.
+    /// Suspected and dead members. Both sets are small, so no datagram requires a scan of all members.
     suspects: BTreeSet<MemberId>,
     dead: BTreeSet<MemberId>,
 }
 
 impl Membership {
-    /// All members are taken to be alive until they do not answer.
+    /// Creates the table. All members count as alive until they do not answer.
     pub fn new(me: MemberId, members: MemberId, incarnation: Incarnation) -> Self {
         let unknown = Member { incarnation: 0, state: State::Alive, last_contact: None, suspicion: None };
         let mut members = vec![unknown; usize::from(members)];
@@ -50,7 +50,7 @@
         self.members.len()
     }
 
-    /// A member that there is.
+    /// Returns the entry of a member; panics if the number is out of range.
     pub fn get(&self, member: MemberId) -> &Member {
         &self.members[usize::from(member)]
     }
@@ -63,9 +63,9 @@
         self.members.iter().enumerate().map(|(number, member)| (number as MemberId, member))
     }
 
-    /// The other members that fit, by number.
-    pub fn others(&self, fits: impl Fn(&Member) -> bool) -> Vec<MemberId> {
-        let others = self.iter().filter(|(number, member)| *number != self.me && fits(member));
+    /// Returns the other members that match, by number.
+    pub fn others(&self, matches: impl Fn(&Member) -> bool) -> Vec<MemberId> {
+        let others = self.iter().filter(|(number, member)| *number != self.me && matches(member));
         others.map(|(number, _)| number).collect()
     }
 
@@ -81,7 +81,7 @@
         self.get(self.me).incarnation
     }
 
-    /// Takes an incarnation of another member for known, where nothing later is held.
+    /// Sets the known incarnation of another member, unless a later one is known.
     pub fn assume(&mut self, member: MemberId, incarnation: Incarnation) {
         if member == self.me || incarnation >= INCARNATION_LIMIT {
             return;
@@ -91,12 +91,12 @@
         }
     }
 
-    /// A datagram of a member has come.
+    /// Records that a datagram of a member was received.
     pub fn contacted(&mut self, now: Micros, member: MemberId) {
         self.get_mut(member).last_contact = Some(now);
     }
 
-    /// Moves what is held of a member up, if this is later; the state that was held before.
+    /// Replaces the entry of a member if the given incarnation and state are later. Returns the previous state if so.
     pub fn supersede(
         &mut self,
         now: Micros,
@@ -126,8 +126,9 @@
         Some(previous)
     }
 
-    /// Adds an accuser to the suspicion of a member in this incarnation, up to `max_accusers`; whether it is a new one.
-    pub fn accuse(
+    /// Adds an accuser to the suspicion of a member in this incarnation, up to `max_accusers`. Returns whether it was
+    /// added.
+    pub fn add_accuser(
         &mut self,
         member: MemberId,
         incarnation: Incarnation,
@@ -145,17 +146,17 @@
         true
     }
 
-    /// Puts this instance's own incarnation above one that is claimed of it.
-    pub fn outdo(&mut self, claimed: Incarnation) {
+    /// Raises this instance's own incarnation above one that an update claims for it.
+    pub fn raise_own_incarnation(&mut self, claimed: Incarnation) {
         self.get_mut(self.me).incarnation = (claimed + 1).min(INCARNATION_LIMIT - 1);
     }
 
-    /// This instance leaves.
+    /// Marks this instance as left.
     pub fn leave(&mut self) {
         self.get_mut(self.me).state = State::Left;
     }
 
-    /// What is held of a member, as it is told on.
+    /// Returns the update that tells other members the state of a member.
     pub fn update(&self, member: MemberId) -> Update {
         let entry = self.get(member);
         let accuser = entry.suspicion.as_ref().and_then(|suspicion| suspicion.accusers.last()).copied();
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,10 +1,10 @@
-//! The fleet's own view: which instances there are, kept by themselves.
+//! Gossip: group membership of the instances, without a central service.
 //!
-//! SWIM (Das, Gupta and Motivala, 2002) with what Lifeguard adds (Dadgar, Phillips and Currey, 2018): an instance that
-//! hears little itself is slower to accuse others (`health.rs`), a suspicion ends the sooner the more accuse
-//! independently (`suspicion.rs`), and a member that is suspected is told with every datagram (`dissemination.rs`). No input
-//! or output and no clock: fed time and datagrams, it gives datagrams and changes of the view. The driver is
-//! `src/proxy/gossip.rs`.
+//! Implements SWIM (Das, Gupta and Motivala, 2002) with the Lifeguard extensions (Dadgar, Phillips and Currey, 2018):
+//! an instance that receives few answers takes longer to suspect others (`health.rs`), a suspicion ends sooner the more
+//! members accuse independently (`suspicion.rs`), and every datagram to a suspected member carries the suspicion
+//! (`dissemination.rs`). The module does no I/O and reads no clock: it is given the time and datagrams, and returns
+//! datagrams to send and changes of the view. The driver is `src/proxy/gossip.rs`.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 mod config;
@@ -32,61 +32,61 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// What is to be done.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram.
+    /// A datagram is to be sent.
     Send {
-        /// To whom.
+        /// Receiver.
         to: MemberId,
-        /// At most [`message::MAX_DATAGRAM_BYTES`].
+        /// The datagram, at most [`message::MAX_DATAGRAM_BYTES`] long.
         bytes: Vec<u8>,
     },
-    /// The view has changed.
+    /// The view of a member has changed.
     Changed {
-        /// Whose entry.
+        /// The member.
         member: MemberId,
-        /// What is held of it now.
+        /// New state of the member.
         state: State,
-        /// In which incarnation.
+        /// Incarnation to which the state applies.
         incarnation: Incarnation,
     },
-    /// A later note of a member has come, see [`Gossip::notes`].
+    /// A later note of a member was received, see [`Gossip::notes`].
     Noted {
-        /// Whose.
+        /// Member that published the note.
         member: MemberId,
     },
 }
 
-/// What is counted.
+/// Counters of gossip.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams given out.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Datagrams taken.
+    /// Number of datagrams received.
     pub received: u64,
-    /// Datagrams that could not be read.
+    /// Number of datagrams received that could not be decoded.
     pub undecodable: u64,
-    /// Members suspected here, by this instance or on another's word.
+    /// Number of suspicions in this view, raised by this instance or by others.
     pub suspected: u64,
-    /// Suspicions that the member denied.
+    /// Number of suspicions that the member refuted.
     pub refuted: u64,
-    /// Members held to be dead here.
+    /// Number of times that a member was declared dead in this view.
     pub died: u64,
 }
 
-/// What is held of one member.
+/// View of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its number.
+    /// Number of the member.
     pub member: MemberId,
-    /// What is held of it.
+    /// State of the member.
     pub state: State,
-    /// In which incarnation.
+    /// Incarnation to which the state applies.
     pub incarnation: Incarnation,
 }
 
-/// One instance's view of all.
+/// One instance's view of all members.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     config: Config,
@@ -102,7 +102,7 @@
 }
 
 impl Gossip {
-    /// An instance that begins to look at `now`. All others are taken to be there until they do not answer.
+    /// Creates the view of an instance that starts at `now`. All others count as alive until they do not answer.
     pub fn new(config: Config, incarnation: Incarnation, seed: u64, now: Micros) -> Self {
         let mut gossip = Gossip {
             config,
@@ -120,15 +120,15 @@
         gossip
     }
 
-    /// Takes these incarnations of others for known without telling them on, and without word of it: for a view that
-    /// goes on from a known state, as in simulations. Where something later is held, that stays.
+    /// Sets known incarnations of other members without disseminating them or reporting changes, for a view that starts
+    /// from a known state as in simulations. A later incarnation that is already known is kept.
     pub fn assume(&mut self, known: impl IntoIterator<Item = (MemberId, Incarnation)>) {
         for (member, incarnation) in known {
             self.membership.assume(member, incarnation);
         }
     }
 
-    /// What is held of each member, by number.
+    /// Returns the view of each member, by number.
     pub fn view(&self) -> impl Iterator<Item = MemberView> + '_ {
         self.membership.iter().map(|(member, entry)| MemberView {
             member,
@@ -137,12 +137,12 @@
         })
     }
 
-    /// What is counted.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Members by state: alive, suspect, dead, left.
+    /// Returns the number of members by state: alive, suspect, dead, left.
     pub fn by_state(&self) -> [usize; 4] {
         let mut counts = [0; 4];
         for (_, entry) in self.membership.iter() {
@@ -151,30 +151,30 @@
         counts
     }
 
-    /// When [`Gossip::tick`] is due at the latest.
+    /// Returns the latest time for the next call of [`Gossip::tick`].
     pub fn next(&self) -> Micros {
         let suspicions = self.membership.suspects().iter().filter_map(|&member| self.suspicion_ends(member));
         let probing = self.probing.next().into_iter();
         probing.chain(suspicions).chain(self.notes.extra_due()).fold(self.next_period, Micros::min)
     }
 
-    /// Lets time pass.
+    /// Processes everything that is due at `now`.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.has_left {
             self.next_period = Micros::MAX;
-            self.notes.take_extra(Micros::MAX);
+            self.notes.claim_extra(Micros::MAX);
             return;
         }
         self.nack_expired_pings(now, actions);
         self.retry_probe(now, actions);
         self.end_suspicions(now, actions);
         if now >= self.next_period {
-            self.judge_probe(now, actions);
+            self.finish_probe(now, actions);
             self.next_period = now + self.health.stretch(self.config.probe_period);
             self.notes.renew(now, self.membership.own_incarnation());
             self.begin_probe(now, actions);
         }
-        if self.notes.take_extra(now) {
+        if self.notes.claim_extra(now) {
             self.send_extra_datagrams(now, actions);
         }
     }
@@ -187,25 +187,25 @@
         }
     }
 
-    /// Sets this instance's own note, of at most [`message::Note::MAX_BYTES`] bytes; a longer one counts as none. A
-    /// changed one goes along with the next datagrams and with a few extra ones ([`Gossip::tick`] sends them, at most
-    /// three in a period); an unchanged one is written anew every 2 s. Of one that is taken back (`None`) the others keep
-    /// the last until it is a minute old.
+    /// Sets this instance's own note, of at most [`message::Note::MAX_BYTES`] bytes; a longer one counts as `None`. A
+    /// changed note is sent with the next datagrams and with a few extra ones, of which [`Gossip::tick`] sends at most
+    /// three per period; an unchanged one is renewed every 2 s. After the note is removed (`None`), the others keep the
+    /// last one until it is a minute old.
     pub fn set_note(&mut self, now: Micros, note: Option<Vec<u8>>) {
         if !self.has_left {
             self.notes.set(now, self.membership.own_incarnation(), note);
         }
     }
 
-    /// The latest note of each other member that is neither dead nor gone. None is older than a minute.
+    /// Returns the latest note of each other member that is neither dead nor left. No note is older than a minute.
     pub fn notes(&self, now: Micros) -> impl Iterator<Item = ReceivedNote<'_>> {
         self.notes.others(now)
     }
 
-    /// Takes a datagram from a member.
+    /// Processes a datagram from a member.
     ///
     /// # Errors
-    /// The bytes are no datagram; nothing but the counts changes.
+    /// The bytes are not a valid datagram; only the counters change.
     pub fn received(
         &mut self,
         now: Micros,
@@ -224,24 +224,24 @@
             self.update(now, from, update, actions);
         }
         for note in notes {
-            self.take_note(now, note, actions);
+            self.receive_note(now, note, actions);
         }
         self.answer(now, from, head.kind, actions);
         Ok(())
     }
 
-    /// A datagram of a member tells that it is alive in the incarnation that its head says.
+    /// Records that a member is alive in the incarnation given by the head of its datagram.
     fn contacted(&mut self, now: Micros, from: MemberId, head: Head, actions: &mut Vec<Action>) {
         if head.incarnation >= self.membership.get(from).incarnation {
-            self.hold(now, from, head.incarnation, State::Alive, actions);
+            self.apply_state(now, from, head.incarnation, State::Alive, actions);
             self.membership.contacted(now, from);
         }
     }
 
-    fn take_note(&mut self, now: Micros, note: Note, actions: &mut Vec<Action>) {
+    fn receive_note(&mut self, now: Micros, note: Note, actions: &mut Vec<Action>) {
         let member = note.member;
         let is_other = member != self.config.me && member < self.config.members;
-        if is_other && self.membership.get(member).state <= State::Suspect && self.notes.take(now, note) {
+        if is_other && self.membership.get(member).state <= State::Suspect && self.notes.store(now, note) {
             actions.push(Action::Noted { member });
         }
     }
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Tells all that this instance leaves; afterwards it is silent.
+    /// Announces to all members that this instance leaves; afterwards it sends nothing more.
     pub fn leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.has_left {
             return;
--- a/src/gossip/notes.rs
+++ b/src/gossip/notes.rs
@@ -1,42 +1,43 @@
-//! Notes: a few bytes that each instance says of itself, carried along with the datagrams of the view. They age, may be
-//! lost and prove nothing; what they mean is their users' matter (`crate::failover::site_report`).
+//! Notes: a few bytes that each instance publishes about itself, piggybacked on gossip datagrams. Notes age, may be
+//! lost and are not authoritative. Their content is defined by `crate::failover::site_report`.
 
 use super::message::{Incarnation, MemberId, Note, MAX_DATAGRAM_BYTES};
 use crate::routing::events::Micros;
 
 const MICROS_PER_MS: Micros = 1_000;
-/// Oldest note that is told to others.
+/// Maximum age of a note that is sent to others, in microseconds.
 const MAX_SHARED_AGE: Micros = 10_000_000;
-/// Oldest note that is kept.
+/// Maximum age of a note that is stored, in microseconds.
 const MAX_RETAINED_AGE: Micros = 60_000_000;
-/// An unchanged note is written anew after so long.
+/// Time after which an unchanged note is renewed, in microseconds.
 const RENEWAL_INTERVAL: Micros = 2_000_000;
-/// A note that is new here has just changed where it is younger.
+/// Age below which a received note with new content counts as just changed, in microseconds.
 const JUST_CHANGED_AGE: Micros = 1_000_000;
-/// Extra datagrams where a note has just changed, this instance's own or another's: at most so many in a period.
+/// Maximum number of extra datagrams per period that are sent after a note, own or received, has just changed.
 pub(super) const MAX_EXTRA_DATAGRAMS: usize = 3;
-/// Fewest bytes that a note takes in a datagram.
+/// Minimum length of an encoded note in bytes.
 const MIN_ENCODED_BYTES: usize = 8;
 
-/// A note of another member, as [`super::Gossip::notes`] gives it.
+/// A note of another member, as returned by [`super::Gossip::notes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReceivedNote<'a> {
-    /// Whose it is.
+    /// Member that published the note.
     pub member: MemberId,
-    /// Microseconds since its instance wrote it or wrote it anew: what its holders kept it, without its ways.
+    /// Microseconds since the note was published or renewed: the sum of the times it was stored at members, without the
+    /// transit times between them.
     pub age: Micros,
-    /// What it says.
+    /// Content.
     pub bytes: &'a [u8],
 }
 
-/// Which of a member's notes: higher is later.
+/// Version of a member's note; higher is later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Version {
     incarnation: Incarnation,
     sequence: u32,
 }
 
-/// A note as this instance has it.
+/// A note stored by this instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredNote {
     member: MemberId,
@@ -44,7 +45,7 @@
     received_at: Micros,
     age_when_received: Micros,
     bytes: Vec<u8>,
-    /// With how many datagrams it went along.
+    /// Number of datagrams that the note was sent with.
     transmissions: u32,
 }
 
@@ -58,20 +59,20 @@
             member: self.member,
             incarnation: self.version.incarnation,
             sequence: self.version.sequence,
-            // Rounded up: no note gets younger on its way.
+            // Rounded up, so that a note never gets younger in transit.
             age_ms: self.age(now).div_ceil(MICROS_PER_MS) as u16,
             bytes: self.bytes.clone(),
         }
     }
 }
 
-/// This instance's note and those of others: one a member.
+/// The notes of this instance and of others, one per member.
 #[derive(Clone, Debug)]
 pub(super) struct Notes {
     me: MemberId,
-    /// With how many datagrams a changed note goes along; one written anew with half as many.
+    /// Number of datagrams that a changed note is sent with; a renewed one is sent with half as many.
     max_transmissions: u32,
-    /// Between two rounds of extra datagrams.
+    /// Minimum time between two rounds of extra datagrams, in microseconds.
     period: Micros,
     entries: Vec<StoredNote>,
     last_sequence: u32,
@@ -96,7 +97,7 @@
         self.entries.iter().find(|entry| entry.member == self.me)
     }
 
-    /// This instance's own note from now on; one that is too long counts as none.
+    /// Sets this instance's own note; one that is too long counts as `None`.
     pub fn set(&mut self, now: Micros, incarnation: Incarnation, note: Option<Vec<u8>>) {
         let Some(bytes) = note.filter(|note| note.len() <= Note::MAX_BYTES) else {
             return self.forget(self.me);
@@ -106,11 +107,11 @@
         }
         self.last_sequence = self.last_sequence.saturating_add(1);
         let note = Note { member: self.me, incarnation, sequence: self.last_sequence, age_ms: 0, bytes };
-        self.take(now, note);
+        self.store(now, note);
     }
 
-    /// Takes a note, if it is later than what is held; whether it was.
-    pub fn take(&mut self, now: Micros, note: Note) -> bool {
+    /// Stores a note if it is later than the stored one. Returns whether it was.
+    pub fn store(&mut self, now: Micros, note: Note) -> bool {
         let Note { member, incarnation, sequence, age_ms, bytes } = note;
         let version = Version { incarnation, sequence };
         let at = self.entries.iter().position(|entry| entry.member == member);
@@ -136,7 +137,7 @@
         self.entries.retain(|entry| entry.member != member);
     }
 
-    /// Once a period: this instance's own note is written anew, those that are too old are dropped.
+    /// Renews this instance's own note if it is due, and drops notes that are too old. Called once per period.
     pub fn renew(&mut self, now: Micros, incarnation: Incarnation) {
         let own = self.own().map(|own| own.bytes.clone());
         if own.is_some() {
@@ -145,13 +146,13 @@
         self.entries.retain(|entry| entry.age(now) <= MAX_RETAINED_AGE);
     }
 
-    /// When extra datagrams are due.
+    /// Returns the time at which extra datagrams are due.
     pub fn extra_due(&self) -> Option<Micros> {
         self.extra_due
     }
 
-    /// Whether they are now; they count as sent.
-    pub fn take_extra(&mut self, now: Micros) -> bool {
+    /// Returns whether extra datagrams are due now, and marks them as sent.
+    pub fn claim_extra(&mut self, now: Micros) -> bool {
         let is_due = self.extra_due.is_some_and(|due| now >= due);
         if is_due {
             self.extra_due = None;
@@ -160,7 +161,7 @@
         is_due
     }
 
-    /// What goes along with a datagram to a member: the least told first, of those the youngest.
+    /// Returns the notes for a datagram to a member: those with the fewest transmissions first, then the youngest.
     pub fn due(&mut self, now: Micros, to: MemberId) -> Vec<Note> {
         self.entries.sort_by_key(|entry| (entry.transmissions, entry.age(now)));
         let is_due = |entry: &&StoredNote| {
@@ -172,7 +173,7 @@
         due.map(|entry| entry.to_send(now)).collect()
     }
 
-    /// Counts that these went along with a datagram.
+    /// Counts a transmission of these notes.
     pub fn transmitted(&mut self, notes: &[Note]) {
         for note in notes {
             if let Some(entry) = self.entries.iter_mut().find(|entry| entry.member == note.member) {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The notes of the other members.
+    /// Returns the notes of the other members.
     pub fn others(&self, now: Micros) -> impl Iterator<Item = ReceivedNote<'_>> {
         let is_retained =
             move |entry: &&StoredNote| entry.member != self.me && entry.age(now) <= MAX_RETAINED_AGE;
--- a/src/gossip/probing.rs
+++ b/src/gossip/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: one member is pinged in each period; if its answer is late, other members are asked to ping it too.
+//! Probing: one member is pinged in each period. If its answer is late, other members are asked to ping it too.
 
 use super::membership::Member;
 use super::message::{Kind, MemberId, State};
@@ -7,49 +7,49 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// Pings made for others that are not answered yet; beyond, the oldest is forgotten.
+/// Maximum number of unanswered pings relayed for others; above this, the oldest is dropped.
 pub(super) const MAX_RELAYED_PINGS: usize = 64;
 
-/// The probe under way.
+/// The probe of the current period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Probe {
     target: MemberId,
     sequence: u32,
-    /// When the answer is late, and it is tried again.
+    /// Time from which the answer is late and the probe is retried.
     late_at: Micros,
-    /// How many members were asked to ping too; `None` until the answer is late.
+    /// Number of members that were asked to ping the target; `None` until the answer is late.
     asked: Option<usize>,
-    /// How many of them have said that they got no answer either.
+    /// Number of these members that reported to have received no answer either.
     nacks: usize,
     is_answered: bool,
 }
 
-/// A ping made for another member.
+/// A ping relayed for another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RelayedPing {
     sequence: u32,
     target: MemberId,
-    asker: MemberId,
-    /// The sequence of the asker's own probe.
-    asker_sequence: u32,
-    until: Micros,
+    requester: MemberId,
+    /// Sequence number of the requester's own probe.
+    requester_sequence: u32,
+    expires_at: Micros,
 }
 
-/// The state of probing.
+/// State of probing.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probing {
     probe: Option<Probe>,
     pub(super) relayed: Vec<RelayedPing>,
-    /// The members still to be probed in this round, the next one last.
+    /// Members still to be probed in this round, the next one last.
     order: Vec<MemberId>,
     last_sequence: u32,
 }
 
 impl Probing {
-    /// When something of it is due.
+    /// Returns the time at which a retry or the expiry of a relayed ping is due.
     pub fn next(&self) -> Option<Micros> {
         let late_at = self.probe.as_ref().filter(|probe| !probe.is_answered).map(|probe| probe.late_at);
-        let relayed = self.relayed.iter().map(|relayed| relayed.until);
+        let relayed = self.relayed.iter().map(|relayed| relayed.expires_at);
         late_at.into_iter().chain(relayed).min()
     }
 
@@ -58,17 +58,17 @@
         self.last_sequence
     }
 
-    /// Takes out the pings for others that were not answered in time, the newest first.
+    /// Removes and returns the relayed pings that were not answered in time, the newest first.
     fn expired(&mut self, now: Micros) -> Vec<RelayedPing> {
         let mut expired: Vec<RelayedPing> =
-            self.relayed.iter().filter(|relayed| relayed.until <= now).cloned().collect();
-        self.relayed.retain(|relayed| relayed.until > now);
+            self.relayed.iter().filter(|relayed| relayed.expires_at <= now).cloned().collect();
+        self.relayed.retain(|relayed| relayed.expires_at > now);
         expired.reverse();
         expired
     }
 }
 
-/// Whether a member is probed in turn.
+/// Returns whether a member is probed in each round.
 fn is_present(member: &Member) -> bool {
     member.state <= State::Suspect
 }
@@ -83,7 +83,7 @@
             Some(Probe { target, sequence, late_at, asked: None, nacks: 0, is_answered: false });
     }
 
-    /// Members that are dead may be back, or were cut off: one of them is pinged in each period too.
+    /// Pings one dead member per period, which may have restarted or have been partitioned.
     fn ping_one_dead(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let dead = self.membership.dead();
         let choice = self.rng.random_range(0..dead.len().max(1));
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The next member of the round; all are probed in an order by chance before a new round begins.
+    /// Returns the next member of the round. Each round probes all members in random order.
     fn next_target(&mut self) -> Option<MemberId> {
         loop {
             match self.probing.order.pop() {
@@ -109,15 +109,15 @@
         }
     }
 
-    /// Pings a member; the sequence of the ping.
+    /// Pings a member. Returns the sequence number of the ping.
     fn ping(&mut self, now: Micros, to: MemberId, actions: &mut Vec<Action>) -> u32 {
         let sequence = self.probing.next_sequence();
         self.send(now, to, Kind::Ping(sequence), actions);
         sequence
     }
 
-    /// If the answer to the probe is late: asks others to ping, and pings again as often as an answer still has time.
-    /// One datagram lost is no silence.
+    /// If the answer to the probe is late, asks other members to ping the target, and repeats the direct ping as long
+    /// as an answer can still arrive within the period, because a single datagram may have been lost.
     pub(super) fn retry_probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let probe = self.probing.probe.as_ref();
         let Some(probe) = probe.filter(|probe| !probe.is_answered && now >= probe.late_at) else { return };
@@ -138,28 +138,28 @@
         }
     }
 
-    /// At the end of the period: a member that has not answered is suspected.
-    pub(super) fn judge_probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Finishes the probe at the end of the period: a target that has not answered is suspected.
+    pub(super) fn finish_probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let Some(probe) = self.probing.probe.take() else { return };
         if probe.is_answered {
             return self.health.improve();
         }
-        // Helpers that say nothing at all show that this instance is the one that does not hear.
+        // Helpers that send neither an answer nor a nack indicate that this instance does not receive datagrams.
         let silent_helpers = probe.asked.unwrap_or(0).saturating_sub(probe.nacks);
         self.health.worsen(silent_helpers as u32);
         let incarnation = self.membership.get(probe.target).incarnation;
         self.suspect(now, probe.target, incarnation, self.config.me, actions);
-        // The target must hear of this before all others do: else its denial runs after an accusation that is
-        // everywhere, and others confirm that by chance meanwhile.
+        // The target must learn of the suspicion before the other members do. Otherwise its refutation follows an
+        // accusation that has already spread, and other members may confirm it by chance in the meantime.
         self.ping(now, probe.target, actions);
     }
 
-    /// Pings a member for another one.
+    /// Pings a member on behalf of another one.
     pub(super) fn relay_ping(
         &mut self,
         now: Micros,
-        asker: MemberId,
-        asker_sequence: u32,
+        requester: MemberId,
+        requester_sequence: u32,
         target: MemberId,
         actions: &mut Vec<Action>,
     ) {
@@ -167,22 +167,28 @@
             return;
         }
         let sequence = self.probing.next_sequence();
-        let until = now + self.config.probe_timeout;
+        let expires_at = now + self.config.probe_timeout;
         if self.probing.relayed.len() >= MAX_RELAYED_PINGS {
             self.probing.relayed.remove(0);
         }
-        self.probing.relayed.push(RelayedPing { sequence, target, asker, asker_sequence, until });
+        self.probing.relayed.push(RelayedPing {
+            sequence,
+            target,
+            requester,
+            requester_sequence,
+            expires_at,
+        });
         self.send(now, target, Kind::Ping(sequence), actions);
     }
 
-    /// Tells those for whom a ping was made in vain.
+    /// Sends a nack for each relayed ping that was not answered in time.
     pub(super) fn nack_expired_pings(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        for RelayedPing { asker, asker_sequence, .. } in self.probing.expired(now) {
-            self.send(now, asker, Kind::Nack(asker_sequence), actions);
+        for RelayedPing { requester, requester_sequence, .. } in self.probing.expired(now) {
+            self.send(now, requester, Kind::Nack(requester_sequence), actions);
         }
     }
 
-    /// A ping was answered: this instance's own, or one made for another.
+    /// Processes the answer to this instance's own ping or to a relayed one.
     pub(super) fn acked(&mut self, now: Micros, from: MemberId, sequence: u32, actions: &mut Vec<Action>) {
         if let Some(probe) = self.probing.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.is_answered = true;
@@ -191,11 +197,11 @@
         let is_answered = |ping: &RelayedPing| ping.sequence == sequence && ping.target == from;
         if let Some(at) = self.probing.relayed.iter().position(is_answered) {
             let relayed = self.probing.relayed.remove(at);
-            self.send(now, relayed.asker, Kind::Ack(relayed.asker_sequence), actions);
+            self.send(now, relayed.requester, Kind::Ack(relayed.requester_sequence), actions);
         }
     }
 
-    /// A member that was asked to ping got no answer yet.
+    /// Counts a nack from a member that was asked to ping the target of the probe.
     pub(super) fn nacked(&mut self, sequence: u32) {
         if let Some(probe) = self.probing.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.nacks += 1;
--- a/src/gossip/suspicion.rs
+++ b/src/gossip/suspicion.rs
@@ -1,29 +1,29 @@
-//! Failure detection: how updates and silence move what is held of a member, and how this instance denies what is said
-//! of itself.
+//! Failure detection: state changes of members by updates and by missing answers, and refutation of updates on this
+//! instance itself.
 
 use super::message::{Incarnation, MemberId, State, Update};
 use super::{Action, Gossip};
 use crate::routing::events::Micros;
 
 impl Gossip {
-    /// Takes an update on a member from another. A sender's word on itself came with the head of its datagram; others
-    /// are believed by the order of states.
+    /// Processes an update on a member. The state of the sender itself was already taken from the head of its datagram;
+    /// updates on others apply by the order of incarnations and states.
     pub(super) fn update(&mut self, now: Micros, from: MemberId, update: Update, actions: &mut Vec<Action>) {
         let Update { member, incarnation, state, accuser } = update;
         if member >= self.config.members {
             return;
         }
         if member == self.config.me {
-            return self.deny(incarnation, state);
+            return self.refute(incarnation, state);
         }
         match state {
             State::Suspect => self.suspect(now, member, incarnation, accuser, actions),
-            // A member that is heard here is not dead on the word of one that does not hear it: it is suspected, and so
-            // told of the accusation, which it denies.
+            // A member that was heard from recently is not declared dead because of another member's update. It is
+            // suspected instead, so that it learns of the accusation and can refute it.
             State::Dead if member != from && self.had_recent_contact(now, member) => {
                 self.suspect(now, member, incarnation, from, actions);
             }
-            _ => self.hold(now, member, incarnation, state, actions),
+            _ => self.apply_state(now, member, incarnation, state, actions),
         }
     }
 
@@ -32,8 +32,8 @@
         last_contact.is_some_and(|contact| now.saturating_sub(contact) < self.config.min_suspicion())
     }
 
-    /// Moves what is held of a member up, if this is later, and tells all of it.
-    pub(super) fn hold(
+    /// Applies a state to a member if it is later than the known one, and disseminates the change.
+    pub(super) fn apply_state(
         &mut self,
         now: Micros,
         member: MemberId,
@@ -55,7 +55,7 @@
         actions.push(Action::Changed { member, state, incarnation });
     }
 
-    /// A member is suspected by `accuser`.
+    /// Marks a member as suspected by `accuser`.
     pub(super) fn suspect(
         &mut self,
         now: Micros,
@@ -64,44 +64,44 @@
         accuser: MemberId,
         actions: &mut Vec<Action>,
     ) {
-        self.hold(now, member, incarnation, State::Suspect, actions);
+        self.apply_state(now, member, incarnation, State::Suspect, actions);
         let max_accusers = self.config.confirmations + 1;
-        if self.membership.accuse(member, incarnation, accuser, max_accusers) {
-            // Each accuser is told on: members that know of several wait less.
+        if self.membership.add_accuser(member, incarnation, accuser, max_accusers) {
+            // Each accuser is disseminated, because a suspicion with more accusers ends sooner.
             let update = Update { member, incarnation, state: State::Suspect, accuser };
             self.dissemination.announce(update);
         }
     }
 
-    /// What is said of this instance itself: it is here, in an incarnation above all that is said.
-    fn deny(&mut self, incarnation: Incarnation, state: State) {
+    /// Refutes an update on this instance itself with an incarnation above the claimed one.
+    fn refute(&mut self, incarnation: Incarnation, state: State) {
         let own = self.membership.own_incarnation();
         let is_accused = state != State::Alive && incarnation >= own;
         if is_accused || incarnation > own {
-            self.membership.outdo(incarnation);
-            // An instance that is often taken for silent may be the one that does not hear.
+            self.membership.raise_own_incarnation(incarnation);
+            // An instance that is suspected often may be the one that does not receive datagrams.
             self.health.worsen(u32::from(state == State::Suspect));
             self.announce(self.config.me);
         }
     }
 
-    /// When the suspicion of a member ends with its death here.
+    /// Returns the time at which the suspicion of a member ends and the member is declared dead.
     pub(super) fn suspicion_ends(&self, member: MemberId) -> Option<Micros> {
         let entry = self.membership.get(member);
         let suspicion = entry.suspicion.as_ref()?;
-        let lasts = self.health.stretch(self.config.suspicion(suspicion.accusers.len()));
-        // A member that is heard here is not dead, whoever suspects it.
+        let duration = self.health.stretch(self.config.suspicion_duration(suspicion.accusers.len()));
+        // A member that was heard from recently is not declared dead, whoever suspects it.
         let contact_until = entry.last_contact.map_or(0, |contact| contact + self.config.min_suspicion());
-        Some((suspicion.since + lasts).max(contact_until))
+        Some((suspicion.since + duration).max(contact_until))
     }
 
-    /// Holds those members dead whose suspicion has ended.
+    /// Declares members dead whose suspicion has ended.
     pub(super) fn end_suspicions(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let is_over = |member: &MemberId| self.suspicion_ends(*member).is_some_and(|end| now >= end);
-        let over: Vec<MemberId> = self.membership.suspects().iter().copied().filter(is_over).collect();
-        for member in over {
+        let has_ended = |member: &MemberId| self.suspicion_ends(*member).is_some_and(|end| now >= end);
+        let ended: Vec<MemberId> = self.membership.suspects().iter().copied().filter(has_ended).collect();
+        for member in ended {
             let incarnation = self.membership.get(member).incarnation;
-            self.hold(now, member, incarnation, State::Dead, actions);
+            self.apply_state(now, member, incarnation, State::Dead, actions);
         }
     }
 }
