--- a/src/failover/failure_detector.rs
+++ b/src/failover/failure_detector.rs
@@ -386,8 +386,8 @@
         }
     }
 
-    /// Begins the recovery of an unreachable site once it was reachable throughout its hold-off. Neither a single failure
-    /// nor a time without attempts restarts the hold-off, because probes are rare.
+    /// Begins the recovery of an unreachable site once it was reachable throughout its hold-off. Neither a single
+    /// failure nor a time without attempts restarts the hold-off, because probes are rare.
     fn continue_hold_off(
         &mut self,
         now: Micros,
--- a/src/failover/instance_share.rs
+++ b/src/failover/instance_share.rs
@@ -25,9 +25,9 @@
 }
 
 impl EvenShare {
-    /// Creates the shares. `named_peers` is the number of instances that the settings name as peers, including this one;
-    /// 0 if none are named. `local` lists zones that no instance of another zone ever sends to. If the settings count
-    /// fewer instances by zone than are named, the remaining instances may be in any zone.
+    /// Creates the shares. `named_peers` is the number of instances that the settings name as peers, including this
+    /// one; 0 if none are named. `local` lists zones that no instance of another zone ever sends to. If the settings
+    /// count fewer instances by zone than are named, the remaining instances may be in any zone.
     pub fn new(settings: &Settings, named_peers: usize, local: &[Zone]) -> Self {
         let configured = f64::from(settings.routers).max(1.0);
         let counted: f64 = settings.routers_by_zone.iter().map(|&count| f64::from(count)).sum();
--- a/src/failover/load_shift/constraints.rs
+++ b/src/failover/load_shift/constraints.rs
@@ -30,8 +30,8 @@
     pub window: Micros,
     /// Time until the site is expected to be back, in microseconds; 0 if unknown.
     pub expected_return: Micros,
-    /// Maximum fraction of their capacity that the caches of this zone get while the instance has just started and a peer
-    /// may still report a recovering site; `None` afterwards.
+    /// Maximum fraction of their capacity that the caches of this zone get while the instance has just started and a
+    /// peer may still report a recovering site; `None` afterwards.
     pub learning_share: Option<f64>,
 }
 
@@ -136,8 +136,8 @@
 }
 
 impl Plans {
-    /// Returns the constraints of an instance while some zones are lost or recovering. Without such a zone the result has
-    /// at most the limits for an instance that has just started.
+    /// Returns the constraints of an instance while some zones are lost or recovering. Without such a zone the result
+    /// has at most the limits for an instance that has just started.
     pub fn constraints(&self, query: &ConstraintQuery) -> Constraints {
         if (0..self.inputs.zones).all(|zone| query.factor(zone) >= 1.0) {
             let rate_limits = self.learning_limits(query, &[]);
@@ -225,8 +225,8 @@
         SpareFractions::new(miss_ratio * spare_of(Role::Parent), spare_of(Role::Origin))
     }
 
-    /// Returns this instance's rate for a target at a lost or recovering site: the share of the site's recovery, at least
-    /// the probe rate.
+    /// Returns this instance's rate for a target at a lost or recovering site: the share of the site's recovery, at
+    /// least the probe rate.
     fn lost_target_rate(&self, query: &ConstraintQuery, target: &Target) -> Option<f64> {
         let sent_by_all = target.role == Role::Parent || self.inputs.settings.cross_zone_caches;
         if !sent_by_all && target.zone != query.zone {
--- a/src/failover/load_shift/model.rs
+++ b/src/failover/load_shift/model.rs
@@ -129,7 +129,8 @@
         pairs.map(|(cache, source)| self.route(zone, class, Some(cache), Some(source), 1.0)).collect()
     }
 
-    /// Returns the routes directly to the sources and through the caches of other zones, as far as the settings allow them.
+    /// Returns the routes directly to the sources and through the caches of other zones, as far as the settings allow
+    /// them.
     fn routes_without_caches(&self, zone: Zone, class: usize) -> Vec<Route> {
         let sources = self.sources();
         let mut routes = Vec::new();
--- a/src/failover/load_shift/plans.rs
+++ b/src/failover/load_shift/plans.rs
@@ -42,8 +42,8 @@
         self.number
     }
 
-    /// Returns whether all load would still be served after the loss of a zone if each zone's load were multiplied by its
-    /// growth. Solves one linear program.
+    /// Returns whether all load would still be served after the loss of a zone if each zone's load were multiplied by
+    /// its growth. Solves one linear program.
     pub fn survives_loss(&self, lost: Zone, growth: &[f64]) -> bool {
         let mut inputs = Inputs::clone(&self.inputs);
         for (load, factor) in inputs.load.iter_mut().zip(growth) {
--- a/src/failover/load_shift/tests.rs
+++ b/src/failover/load_shift/tests.rs
@@ -262,7 +262,8 @@
             && (0.2..0.6).contains(&low_priority),
         "{lost:?}"
     );
-    // A miss in the other zone has the same priority as one in the lost zone; hits in its caches use no scarce capacity.
+    // A miss in the other zone has the same priority as one in the lost zone; hits in its caches use no scarce
+    // capacity.
     assert!(lost.admitted[1][0] >= 0.9 && lost.admitted[1][1..] == [1.0; 3], "{lost:?}");
     let query = ConstraintQuery {
         zone: 0,
--- a/src/failover/observations.rs
+++ b/src/failover/observations.rs
@@ -395,8 +395,8 @@
         self.reached.saturating_mul(REACHED_WELL_FACTOR) >= self.failed
     }
 
-    /// Converts what a peer's report contains on one site; `None` if the peer has not tried it. `before`: the observation
-    /// from the peer's previous report.
+    /// Converts what a peer's report contains on one site; `None` if the peer has not tried it. `before`: the
+    /// observation from the peer's previous report.
     fn from_report(
         reported: &SiteObservation,
         reported_at: Micros,
--- a/tests/core_decisions/sites.rs
+++ b/tests/core_decisions/sites.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Changes the failure rate of a site, for all instances or for those outside, and one detector's settings or state.
+    /// Changes the failure rate of a site, for all instances or for those outside, and one detector's settings or
+    /// state.
     fn change_faults(&mut self) {
         let zone = self.rng.random_range(0..3);
         let fraction = [0.02, 0.02, 0.3, 1.0][self.rng.random_range(0..4)];
