--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -232,7 +232,7 @@
                     }
                 }
                 Action::Changed { member, state, .. } => self.hold(now, by, member, state >= State::Dead),
-                Action::Noted { member } => self.noted(now, by, usize::from(member)),
+                Action::NoteReceived { member } => self.noted(now, by, usize::from(member)),
             }
         }
         self.actions = actions;
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -83,7 +83,7 @@
                     self.hash.number(u64::from(member) << 8 | state as u64);
                     self.hash.number(incarnation);
                 }
-                Action::Noted { member } => self.hash.number(1 << 40 | u64::from(member)),
+                Action::NoteReceived { member } => self.hash.number(1 << 40 | u64::from(member)),
             }
         }
         let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next);
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -148,7 +148,7 @@
                 Action::Changed { member, state, .. } => {
                     self.changes.push(Change { at: self.now, by, member: usize::from(member), state });
                 }
-                Action::Noted { .. } => {}
+                Action::NoteReceived { .. } => {}
                 Action::Send { to, bytes } => {
                     self.sent.0 += 1;
                     self.sent.1 += bytes.len() as u64;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -52,7 +52,7 @@
         incarnation: Incarnation,
     },
     /// A later note of a member was received, see [`Gossip::notes`].
-    Noted {
+    NoteReceived {
         /// Member that published the note.
         member: MemberId,
     },
@@ -242,7 +242,7 @@
         let member = note.member;
         let is_other = member != self.config.me && member < self.config.members;
         if is_other && self.membership.get(member).state <= State::Suspect && self.notes.store(now, note) {
-            actions.push(Action::Noted { member });
+            actions.push(Action::NoteReceived { member });
         }
     }
 
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -149,7 +149,7 @@
                 Action::Send { to, bytes } if self.in_transit.len() < MAX_IN_TRANSIT => {
                     self.in_transit.push((by as MemberId, to, bytes));
                 }
-                Action::Send { .. } | Action::Noted { .. } => {}
+                Action::Send { .. } | Action::NoteReceived { .. } => {}
                 Action::Changed { member, state, .. } => {
                     let last_received = self.last_received[by][usize::from(member)];
                     let is_recent =
@@ -317,7 +317,7 @@
     let bytes = encode(&Head { incarnation: 9, kind: Kind::Ping(1) }, [], &[note]).bytes;
     let mut actions = Vec::new();
     gossip.received(2 * S, 3, &bytes, &mut actions).unwrap();
-    assert!(actions.contains(&Action::Noted { member: 2 }));
+    assert!(actions.contains(&Action::NoteReceived { member: 2 }));
     let note_of_2 =
         |datagrams: Vec<(u8, Vec<Note>)>| datagrams.into_iter().flat_map(|s| s.1).find(|n| n.member == 2);
     let aged = note_of_2(tick_and_collect(&mut gossip, 3 * S)).map(|n| n.age_ms);
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -220,7 +220,7 @@
                 }
                 self.queue.push_back(Outgoing { to, bytes });
             }
-            Action::Noted { .. } => {}
+            Action::NoteReceived { .. } => {}
             Action::Changed { member, state: State::Alive, incarnation } => {
                 debug!(self.log, "peer alive"; "member" => member, "incarnation" => incarnation);
             }
