--- a/crates/fleet-simulation/src/slopes/view.rs
+++ b/crates/fleet-simulation/src/slopes/view.rs
@@ -94,7 +94,7 @@
         self.taken = (self.taken.0 + 1, self.taken.1 + bytes.len() as u64);
         let mut actions = Vec::new();
         let (now, gossip) = (self.now, &mut self.gossip);
-        let _ = watch.time(|| gossip.received(now, from, &bytes, &mut actions));
+        let _ = watch.time(|| gossip.receive(now, from, &bytes, &mut actions));
         self.carry_out(actions);
     }
 
--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -211,7 +211,7 @@
             self.loads[member].received_bytes += bytes.len() as u64;
         }
         // Only what cores wrote is under way, and they read it.
-        let _ = gossip.received(now, from, bytes, &mut self.actions);
+        let _ = gossip.receive(now, from, bytes, &mut self.actions);
         self.after(now, member);
     }
 
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -107,7 +107,7 @@
             }
             (Some(gossip), 2) => gossip.tick(now, &mut actions),
             (Some(gossip), 3) => {
-                let _ = gossip.received(now, 1, &[self.rng.random(), 7, 200, 1, 0, 9], &mut actions);
+                let _ = gossip.receive(now, 1, &[self.rng.random(), 7, 200, 1, 0, 9], &mut actions);
             }
             (Some(gossip), 4) => gossip.set_note(now, None),
             (Some(gossip), _) if self.play.notes => {
@@ -146,7 +146,7 @@
             Due::Event(Ev::Stir) => world.stir(),
             Due::Event(Ev::Datagram(from, to, bytes)) => {
                 if let Some(gossip) = &mut world.members[usize::from(to)] {
-                    let _ = gossip.received(now, from, &bytes, &mut actions);
+                    let _ = gossip.receive(now, from, &bytes, &mut actions);
                     world.done(usize::from(to), actions);
                 }
             }
--- a/crates/test-support/benches/gossip.rs
+++ b/crates/test-support/benches/gossip.rs
@@ -17,7 +17,7 @@
             b.iter(|| {
                 now += 10;
                 actions.clear();
-                let _ = black_box(gossip.received(now, 1, black_box(&ping), &mut actions));
+                let _ = black_box(gossip.receive(now, 1, black_box(&ping), &mut actions));
                 black_box(&actions);
             })
         });
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -127,7 +127,7 @@
             let who = if datagram == Some(next) {
                 let Some(Reverse((_, _, from, to, bytes))) = self.on_way.pop() else { break };
                 if let Some(gossip) = &mut self.members[to] {
-                    let _ = gossip.received(self.now, from as MemberId, &bytes, &mut actions);
+                    let _ = gossip.receive(self.now, from as MemberId, &bytes, &mut actions);
                 }
                 to
             } else {
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     /// The bytes are not a valid datagram; only the counters change.
-    pub fn received(
+    pub fn receive(
         &mut self,
         now: Micros,
         from: MemberId,
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -58,7 +58,7 @@
         let truncated = corrupted[..at].to_vec();
         for bytes in [bytes, corrupted, truncated] {
             let mut actions = Vec::new();
-            let is_valid = gossip.received(2 * S, 3, &bytes, &mut actions).is_ok();
+            let is_valid = gossip.receive(2 * S, 3, &bytes, &mut actions).is_ok();
             prop_assert_eq!(is_valid, decode(&bytes).is_ok());
             prop_assert!(is_valid || actions.is_empty());
         }
@@ -77,7 +77,7 @@
             let note = Note { member, incarnation, sequence, age_ms: 500, bytes: vec![incarnation as u8, sequence as u8] };
             let bytes = encode(&Head { incarnation: 9, kind: Kind::Updates }, [], &[note]).bytes;
             let mut actions = Vec::new();
-            gossip.received(S, 3, &bytes, &mut actions).unwrap();
+            gossip.receive(S, 3, &bytes, &mut actions).unwrap();
         }
         let mut stored: Vec<_> = gossip.notes(S + 7).map(|n| (n.member, n.age, n.bytes.to_vec())).collect();
         stored.sort_unstable();
@@ -169,7 +169,7 @@
         self.now += 1_000;
         let (now, to) = (self.now, usize::from(to));
         self.last_received[to][usize::from(from)] = Some(now);
-        self.members[to].received(now, from, &bytes, &mut actions).unwrap();
+        self.members[to].receive(now, from, &bytes, &mut actions).unwrap();
         self.apply_actions(to, actions);
     }
 
@@ -251,18 +251,18 @@
     let dead = Update { member: 2, incarnation: 5, state: State::Dead, accuser: 1 };
     let accusation = encode(&Head { incarnation: 6, kind: Kind::Updates }, [dead], &[]).bytes;
     let mut actions = Vec::new();
-    gossip.received(S, 2, &ping, &mut actions).unwrap();
-    gossip.received(S + 1, 1, &accusation, &mut actions).unwrap();
+    gossip.receive(S, 2, &ping, &mut actions).unwrap();
+    gossip.receive(S + 1, 1, &accusation, &mut actions).unwrap();
     assert_eq!(gossip.membership.get(2).state, State::Suspect, "heard from recently");
     actions.clear();
-    gossip.received(S + 2, 2, &ping, &mut actions).unwrap();
+    gossip.receive(S + 2, 2, &ping, &mut actions).unwrap();
     let Some(Action::Send { to: 2, bytes }) = actions.pop() else { panic!("{actions:?}") };
     let sent_updates = decode(&bytes).unwrap().updates;
     assert!(
         sent_updates.iter().any(|u| u.member == 2 && u.state == State::Suspect),
         "so that it can refute the suspicion: {sent_updates:?}"
     );
-    gossip.received(3 * S, 1, &accusation, &mut actions).unwrap();
+    gossip.receive(3 * S, 1, &accusation, &mut actions).unwrap();
     assert_eq!(gossip.membership.get(2).state, State::Dead, "not heard from recently");
 }
 
@@ -273,10 +273,10 @@
     let accused = Update { member: 2, incarnation: 5, state: State::Suspect, accuser: 1 };
     let accusation = encode(&Head { incarnation: 6, kind: Kind::Updates }, [accused], &[]).bytes;
     let mut actions = Vec::new();
-    gossip.received(S, 1, &accusation, &mut actions).unwrap();
+    gossip.receive(S, 1, &accusation, &mut actions).unwrap();
     for step in 1..100 {
         // The member's datagrams arrive, but it does not receive the accusation and refutes nothing.
-        gossip.received(S + step * S / 10, 2, &ping, &mut actions).unwrap();
+        gossip.receive(S + step * S / 10, 2, &ping, &mut actions).unwrap();
         gossip.tick(S + step * S / 10, &mut actions);
         assert_eq!(gossip.membership.get(2).state, State::Suspect, "step {step}");
     }
@@ -316,7 +316,7 @@
     let note = Note { member: 2, incarnation: 9, sequence: 1, age_ms: 1_500, bytes: vec![5; 64] };
     let bytes = encode(&Head { incarnation: 9, kind: Kind::Ping(1) }, [], &[note]).bytes;
     let mut actions = Vec::new();
-    gossip.received(2 * S, 3, &bytes, &mut actions).unwrap();
+    gossip.receive(2 * S, 3, &bytes, &mut actions).unwrap();
     assert!(actions.contains(&Action::NoteReceived { member: 2 }));
     let note_of_2 =
         |datagrams: Vec<(u8, Vec<Note>)>| datagrams.into_iter().flat_map(|s| s.1).find(|n| n.member == 2);
@@ -328,7 +328,7 @@
     for second in 11..70 {
         let ping = encode(&Head { incarnation: 9, kind: Kind::Ping(1) }, [], &[]).bytes;
         let mut replies = Vec::new();
-        (1..9).for_each(|from| gossip.received(second * S, from, &ping, &mut replies).unwrap());
+        (1..9).for_each(|from| gossip.receive(second * S, from, &ping, &mut replies).unwrap());
         assert_eq!(note_of_2(sent_notes(&replies)), None, "{second}");
         assert_eq!(note_of_2(tick_and_collect(&mut gossip, second * S)), None, "{second}");
         assert_eq!(gossip.notes(0).any(|n| n.member == 2), second <= 60, "{second}");
@@ -358,7 +358,7 @@
             .extend(pinged.map(|(to, sequence)| (to, Head { incarnation: 9, kind: Kind::Ack(sequence) })));
         actions.clear();
         for (from, head) in received {
-            gossip.received(resumed_at, from, &encode(&head, [], &[]).bytes, &mut actions).unwrap();
+            gossip.receive(resumed_at, from, &encode(&head, [], &[]).bytes, &mut actions).unwrap();
         }
         gossip.tick(resumed_at, &mut actions);
         let is_accusation =
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -175,7 +175,7 @@
             match self.peering.members.iter().position(|address| *address == from) {
                 Some(member) => {
                     // The view itself counts what it can't read.
-                    let _ = self.gossip.received(now, member as MemberId, &bytes[..length], actions);
+                    let _ = self.gossip.receive(now, member as MemberId, &bytes[..length], actions);
                 }
                 None => self.from_unknown_addresses += 1,
             }
