--- a/crates/fleet-simulation/src/slopes/view.rs
+++ b/crates/fleet-simulation/src/slopes/view.rs
@@ -45,7 +45,7 @@
     fn new(size: usize, note_bytes: usize) -> Fed {
         let size = size as u16;
         let now = 1_000 * S;
-        let gossip = Gossip::new(Config::of(0, size), INCARNATION, 7, now);
+        let gossip = Gossip::new(Config::new(0, size), INCARNATION, 7, now);
         let rng = Pcg32::seed_from_u64(u64::from(size) << 8 | note_bytes as u64);
         let mut fed = Fed {
             gossip,
--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -272,7 +272,7 @@
         let size = self.size();
         self.incarnations[member] = self.incarnation(member, now);
         let seed = self.seed ^ now << 16 ^ member as u64;
-        let config = Config::of(member as MemberId, size as MemberId);
+        let config = Config::new(member as MemberId, size as MemberId);
         // Not all at one moment.
         let at = now + seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) % config.probe_period;
         let mut gossip = Gossip::new(config, self.incarnations[member], seed, at);
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -51,7 +51,7 @@
     fn start(&mut self, member: usize) {
         self.lives += 1;
         let now = self.queue.now();
-        let config = Config::of(member as MemberId, self.play.size as MemberId);
+        let config = Config::new(member as MemberId, self.play.size as MemberId);
         let incarnation = FIRST + self.lives * 1_000;
         let mut gossip = Gossip::new(config, incarnation, self.lives, now + self.lives * 7_919 % 500_000);
         if self.play.known && now == 0 {
--- a/crates/test-support/benches/gossip.rs
+++ b/crates/test-support/benches/gossip.rs
@@ -11,7 +11,7 @@
             (1..many).map(|n| Update { member: n, incarnation: 1 << 49, state: State::Alive, accuser: 0 });
         let head = Head { incarnation: 1 << 49, kind: Kind::Ping(7) };
         let ping = encode(&head, updates.take(6), &[]).bytes;
-        let mut gossip = Gossip::new(Config::of(0, many), 1 << 49, 1, 1_000_000);
+        let mut gossip = Gossip::new(Config::new(0, many), 1 << 49, 1, 1_000_000);
         let (mut now, mut actions) = (1_000_000, Vec::new());
         c.bench_function(&format!("a ping of 6 updates taken and answered, {many} members"), |b| {
             b.iter(|| {
--- a/crates/test-support/src/bin/measure-sites.rs
+++ b/crates/test-support/src/bin/measure-sites.rs
@@ -61,7 +61,7 @@
 fn simulated(many: usize, seed: u64, loss: f64) -> (f64, usize) {
     const ZONES: usize = 5;
     let (before, after) = (20 * S, 15 * S);
-    let mut net = fleet::Fleet::new(many, seed, larchdale::gossip::Config::of);
+    let mut net = fleet::Fleet::new(many, seed, larchdale::gossip::Config::new);
     net.follow(&Schedule { seed, rules: vec![Rule { delay_ms: [1.0, 10.0], ..Rule::loss(loss, 0, 0) }] });
     net.run(5 * S);
     let zone = |d: usize| EDGE + d % 3;
--- a/crates/test-support/src/bin/measure-view.rs
+++ b/crates/test-support/src/bin/measure-view.rs
@@ -11,7 +11,7 @@
 const DELAY: [f64; 2] = [1.0, 10.0];
 
 fn fleet(many: usize, seed: u64, loss: f64) -> Fleet {
-    let mut fleet = Fleet::new(many, seed, Config::of);
+    let mut fleet = Fleet::new(many, seed, Config::new);
     fleet.follow(&Schedule { seed, rules: vec![Rule { delay_ms: DELAY, ..Rule::loss(loss, 0, 0) }] });
     fleet.run(5 * S);
     fleet
--- a/src/gossip/config.rs
+++ b/src/gossip/config.rs
@@ -30,7 +30,7 @@
 
 impl Config {
     /// Returns the default configuration for this number of members.
-    pub fn of(me: MemberId, members: MemberId) -> Self {
+    pub fn new(me: MemberId, members: MemberId) -> Self {
         Config {
             me,
             members,
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -51,7 +51,7 @@
     /// Holds for any bytes and any corrupted or truncated datagram; invalid ones cause no action.
     #[test]
     fn no_received_bytes_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), list in updates(), notes in notes(), at: usize, to: u8) {
-        let mut gossip = Gossip::new(Config::of(0, 5), 7, 1, S);
+        let mut gossip = Gossip::new(Config::new(0, 5), 7, 1, S);
         let mut corrupted = encode(&Head { incarnation: 9, kind: Kind::Ping(1) }, list, &notes).bytes;
         let at = at % corrupted.len();
         corrupted[at] = to;
@@ -71,7 +71,7 @@
     /// Holds for any notes in any order; members that are dead or have left have none.
     #[test]
     fn the_latest_note_of_each_present_member_is_stored(list in prop::collection::vec((0u16..7, 1u64..4, 0u32..4), 0..40)) {
-        let mut gossip = Gossip::new(Config::of(0, 5), 7, 1, S);
+        let mut gossip = Gossip::new(Config::new(0, 5), 7, 1, S);
         gossip.apply_state(S, 4, 9, State::Dead, &mut Vec::new());
         for &(member, incarnation, sequence) in &list {
             let note = Note { member, incarnation, sequence, age_ms: 500, bytes: vec![incarnation as u8, sequence as u8] };
@@ -92,7 +92,7 @@
     #[test]
     fn views_that_processed_the_same_updates_agree(list in updates(), swaps in prop::collection::vec((0usize..60, 0usize..60), 0..40)) {
         let view_after = |list: &[Update]| {
-            let mut gossip = Gossip::new(Config::of(0, 400), 7, 1, S);
+            let mut gossip = Gossip::new(Config::new(0, 400), 7, 1, S);
             list.iter().for_each(|&u| gossip.update(2 * S, 1, u, &mut Vec::new()));
             gossip.view().skip(1).collect::<Vec<_>>()
         };
@@ -133,7 +133,7 @@
 
 impl Network {
     fn new(seed: u64) -> Self {
-        let member = |n: MemberId| Gossip::new(Config::of(n, 3), 10 + u64::from(n), seed + u64::from(n), S);
+        let member = |n: MemberId| Gossip::new(Config::new(n, 3), 10 + u64::from(n), seed + u64::from(n), S);
         Network {
             now: S,
             members: (0..3).map(member).collect(),
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_recently_heard_member_that_others_declare_dead_is_only_suspected_and_learns_of_it() {
-    let mut gossip = Gossip::new(Config::of(0, 3), 10, 1, S);
+    let mut gossip = Gossip::new(Config::new(0, 3), 10, 1, S);
     let ping = encode(&Head { incarnation: 5, kind: Kind::Ping(1) }, [], &[]).bytes;
     let dead = Update { member: 2, incarnation: 5, state: State::Dead, accuser: 1 };
     let accusation = encode(&Head { incarnation: 6, kind: Kind::Updates }, [dead], &[]).bytes;
@@ -268,7 +268,7 @@
 
 #[test]
 fn a_suspected_member_is_declared_dead_only_after_its_datagrams_stop() {
-    let mut gossip = Gossip::new(Config::of(0, 3), 10, 1, S);
+    let mut gossip = Gossip::new(Config::new(0, 3), 10, 1, S);
     let ping = encode(&Head { incarnation: 5, kind: Kind::Ping(1) }, [], &[]).bytes;
     let accused = Update { member: 2, incarnation: 5, state: State::Suspect, accuser: 1 };
     let accusation = encode(&Head { incarnation: 6, kind: Kind::Updates }, [accused], &[]).bytes;
@@ -299,7 +299,7 @@
 
 #[test]
 fn a_changed_note_is_sent_at_once_with_limited_extra_datagrams_ages_and_expires() {
-    let mut gossip = Gossip::new(Config::of(0, 9), 7, 1, S);
+    let mut gossip = Gossip::new(Config::new(0, 9), 7, 1, S);
     assert!(
         tick_and_collect(&mut gossip, S).iter().all(|s| s.0 == VERSION_WITHOUT_NOTES),
         "a member without a note sends version 1"
@@ -340,7 +340,7 @@
 #[test]
 fn after_a_pause_no_member_whose_datagrams_arrived_meanwhile_is_accused() {
     for pause in [S / 2, 5 * S, 30 * S] {
-        let mut gossip = Gossip::new(Config::of(0, 5), 7, 1, S);
+        let mut gossip = Gossip::new(Config::new(0, 5), 7, 1, S);
         let mut actions = Vec::new();
         gossip.suspect(S, 4, 9, 3, &mut actions);
         actions.clear();
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -88,7 +88,7 @@
 
 impl PeerGossip {
     fn new(peering: Peering, incarnation: Incarnation, seed: u64, now: Micros, log: Logger) -> Self {
-        let config = Config::of(peering.me, peering.members.len() as MemberId);
+        let config = Config::new(peering.me, peering.members.len() as MemberId);
         PeerGossip {
             log,
             socket: None,
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -7,7 +7,7 @@
 const S: u64 = 1_000_000;
 
 fn new_fleet(members: usize, seed: u64) -> Fleet {
-    Fleet::new(members, seed, Config::of)
+    Fleet::new(members, seed, Config::new)
 }
 
 fn median(mut spans: Vec<u64>) -> u64 {
