--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -278,7 +278,7 @@
         let mut gossip = Gossip::new(config, self.incarnations[member], seed, at);
         if now == START && !self.cold {
             let known = self.incarnations.iter().enumerate();
-            gossip.assume(known.map(|(m, &incarnation)| (m as MemberId, incarnation)));
+            gossip.preset_incarnations(known.map(|(m, &incarnation)| (m as MemberId, incarnation)));
         }
         if self.note_bytes > 0 {
             let turn = u8::from(self.changed.is_some_and(|c| c.0 == member));
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -55,7 +55,9 @@
         let incarnation = FIRST + self.lives * 1_000;
         let mut gossip = Gossip::new(config, incarnation, self.lives, now + self.lives * 7_919 % 500_000);
         if self.play.known && now == 0 {
-            gossip.assume((0..self.play.size).map(|m| (m as MemberId, FIRST + (m as u64 + 1) * 1_000)));
+            gossip.preset_incarnations(
+                (0..self.play.size).map(|m| (m as MemberId, FIRST + (m as u64 + 1) * 1_000)),
+            );
         }
         if self.play.notes {
             gossip.set_note(now, Some(vec![member as u8; member % 65]));
--- a/src/gossip/membership.rs
+++ b/src/gossip/membership.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sets the known incarnation of another member, unless a later one is known.
-    pub fn assume(&mut self, member: MemberId, incarnation: Incarnation) {
+    pub fn preset_incarnation(&mut self, member: MemberId, incarnation: Incarnation) {
         if member == self.me || incarnation >= INCARNATION_LIMIT {
             return;
         }
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -122,9 +122,9 @@
 
     /// Sets known incarnations of other members without disseminating them or reporting changes, for a view that starts
     /// from a known state as in simulations. A later incarnation that is already known is kept.
-    pub fn assume(&mut self, known: impl IntoIterator<Item = (MemberId, Incarnation)>) {
+    pub fn preset_incarnations(&mut self, known: impl IntoIterator<Item = (MemberId, Incarnation)>) {
         for (member, incarnation) in known {
-            self.membership.assume(member, incarnation);
+            self.membership.preset_incarnation(member, incarnation);
         }
     }
 
