--- a/crates/fleet-simulation/src/slopes/view.rs
+++ b/crates/fleet-simulation/src/slopes/view.rs
@@ -113,7 +113,7 @@
         loop {
             // The driver asks for it at each turn as well.
             let gossip = &self.gossip;
-            let timer = watch.time(|| gossip.next()).max(self.now);
+            let timer = watch.time(|| gossip.next_due()).max(self.now);
             let answer = self.answers.front().map_or(u64::MAX, |a| a.0);
             let next = timer.min(answer).min(self.probe);
             if next > until {
--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -236,7 +236,7 @@
             }
         }
         self.actions = actions;
-        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next);
+        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next_due);
         self.queue.set(by, next);
     }
 
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -88,7 +88,7 @@
                 Action::NoteReceived { member } => self.hash.number(1 << 40 | u64::from(member)),
             }
         }
-        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next);
+        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next_due);
         self.hash.number(next);
         self.queue.set(by, next);
     }
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -118,7 +118,7 @@
         let until = self.now + span;
         for _ in 0..STEPS {
             let timer =
-                self.members.iter().enumerate().filter_map(|(n, m)| Some((m.as_ref()?.next(), n))).min();
+                self.members.iter().enumerate().filter_map(|(n, m)| Some((m.as_ref()?.next_due(), n))).min();
             let datagram = self.on_way.peek().map(|d| d.0 .0);
             let next = timer.map(|t| t.0).into_iter().chain(datagram).min().filter(|&t| t <= until);
             let Some(next) = next else { break };
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -152,9 +152,9 @@
     }
 
     /// Returns the latest time for the next call of [`Gossip::tick`].
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         let suspicions = self.membership.suspects().iter().filter_map(|&member| self.suspicion_ends(member));
-        let probing = self.probing.next().into_iter();
+        let probing = self.probing.next_due().into_iter();
         probing.chain(suspicions).chain(self.notes.extra_due()).fold(self.next_period, Micros::min)
     }
 
--- a/src/gossip/probing.rs
+++ b/src/gossip/probing.rs
@@ -47,7 +47,7 @@
 
 impl Probing {
     /// Returns the time at which a retry or the expiry of a relayed ping is due.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         let late_at = self.probe.as_ref().filter(|probe| !probe.is_answered).map(|probe| probe.late_at);
         let relayed = self.relayed.iter().map(|relayed| relayed.expires_at);
         late_at.into_iter().chain(relayed).min()
--- a/src/gossip/tests.rs
+++ b/src/gossip/tests.rs
@@ -174,8 +174,8 @@
     }
 
     fn tick(&mut self) {
-        let member = (0..3).min_by_key(|&n| self.members[n].next()).unwrap();
-        self.now = self.now.max(self.members[member].next());
+        let member = (0..3).min_by_key(|&n| self.members[n].next_due()).unwrap();
+        self.now = self.now.max(self.members[member].next_due());
         let mut actions = Vec::new();
         self.members[member].tick(self.now, &mut actions);
         self.apply_actions(member, actions);
@@ -306,9 +306,9 @@
     );
     // Extra datagrams are sent only once per period, however often the note changes.
     gossip.set_note(S, Some(vec![1; 65]));
-    assert_eq!(gossip.next(), S + gossip.config.probe_timeout, "a note that is too long counts as none");
+    assert_eq!(gossip.next_due(), S + gossip.config.probe_timeout, "a note that is too long counts as none");
     (0..20).for_each(|n| gossip.set_note(S + n, Some(vec![n as u8])));
-    assert_eq!(gossip.next(), S);
+    assert_eq!(gossip.next_due(), S);
     assert_eq!(tick_and_collect(&mut gossip, S + 20).len(), MAX_EXTRA_DATAGRAMS);
     (20..40).for_each(|n| gossip.set_note(S + n, Some(vec![n as u8])));
     assert!(tick_and_collect(&mut gossip, S + 50).is_empty());
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -249,7 +249,7 @@
     fn schedule(&mut self, now: Micros) -> Option<Micros> {
         self.socket.as_ref()?;
         let next_send = if self.queue.is_empty() { Micros::MAX } else { self.budget.next_send() };
-        let next = self.gossip.next().min(next_send).max(now + MILLISECOND);
+        let next = self.gossip.next_due().min(next_send).max(now + MILLISECOND);
         if self.next_tick.is_some_and(|tick| next >= tick) {
             return None;
         }
