--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -2,7 +2,7 @@
 //! slower. The table of docs/CAPACITY.md rests on these.
 
 use larchdale::config::product::script;
-use larchdale::failover::load_shift::{Counted, PlanBuilder, PlanError, MAX_ZONES};
+use larchdale::failover::load_shift::{LimitedInput, PlanBuilder, PlanError, MAX_ZONES};
 use larchdale::failover::site_report::{SiteObservation, SiteReport, MAX_BYTES, MAX_SITES};
 use larchdale::placement::map::{ShardMap, MAX_SHARDS};
 use larchdale::registry::documents::Settings;
@@ -17,7 +17,7 @@
 fn plans_for_more_zones_than_may_be_are_refused_with_a_word() {
     let zones = target::SITES as usize;
     let refused = PlanBuilder::new(&inputs(zones, false)).unwrap_err();
-    assert_eq!(refused, PlanError::TooMany { what: Counted::Zones, count: zones, most: MAX_ZONES });
+    assert_eq!(refused, PlanError::TooMany { what: LimitedInput::Zones, count: zones, most: MAX_ZONES });
     assert!(refused.to_string().contains("leave site_plan() out"), "{refused}");
 }
 
--- a/src/failover/load_shift/error.rs
+++ b/src/failover/load_shift/error.rs
@@ -13,7 +13,7 @@
     #[error("site plans: {count} {what} exceed the limit of {most}; merge small ones or remove site_plan() from the settings")]
     TooMany {
         /// Kind of the input.
-        what: Counted,
+        what: LimitedInput,
         /// Number of entries.
         count: usize,
         /// Maximum number of entries.
@@ -50,7 +50,7 @@
 
 /// Inputs whose number is limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counted {
+pub enum LimitedInput {
     /// Zones.
     Zones,
     /// Servers that can take load.
@@ -59,12 +59,12 @@
     Classes,
 }
 
-impl fmt::Display for Counted {
+impl fmt::Display for LimitedInput {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Counted::Zones => "zones",
-            Counted::Servers => "servers",
-            Counted::Classes => "classes",
+            LimitedInput::Zones => "zones",
+            LimitedInput::Servers => "servers",
+            LimitedInput::Classes => "classes",
         })
     }
 }
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -1,6 +1,6 @@
 //! Inputs of the plans, their validation, and the order of targets that all instances agree on.
 
-use super::error::{Counted, Figure, InputList, PlanError};
+use super::error::{Figure, InputList, LimitedInput, PlanError};
 use crate::failover::{Settings, Zone};
 use crate::routing::events::{Class, Id, Idempotency, Role};
 use xxhash_rust::xxh3::xxh3_64;
@@ -83,9 +83,9 @@
 
     fn check_counts(&self) -> Result<(), PlanError> {
         let counts = [
-            (Counted::Zones, self.zones, MAX_ZONES),
-            (Counted::Servers, self.targets.len(), MAX_TARGETS),
-            (Counted::Classes, self.classes.len(), MAX_CLASSES),
+            (LimitedInput::Zones, self.zones, MAX_ZONES),
+            (LimitedInput::Servers, self.targets.len(), MAX_TARGETS),
+            (LimitedInput::Classes, self.classes.len(), MAX_CLASSES),
         ];
         match counts.into_iter().find(|&(_, count, most)| count > most) {
             Some((what, count, most)) => Err(PlanError::TooMany { what, count, most }),
--- a/src/failover/load_shift/tests.rs
+++ b/src/failover/load_shift/tests.rs
@@ -351,7 +351,7 @@
     assert!(matches!(error_of(&|i| i.targets[0].zone = 3), PlanError::Figure { what: Figure::Zone, .. }));
     assert!(matches!(
         error_of(&|i| i.zones = 200),
-        PlanError::TooMany { what: Counted::Zones, count: 200, .. }
+        PlanError::TooMany { what: LimitedInput::Zones, count: 200, .. }
     ));
     assert!(matches!(
         error_of(&|i| i.priority_weight.truncate(2)),
