--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -17,7 +17,7 @@
 fn plans_for_more_zones_than_may_be_are_refused_with_a_word() {
     let zones = target::SITES as usize;
     let refused = PlanBuilder::new(&inputs(zones, false)).unwrap_err();
-    assert_eq!(refused, PlanError::TooMany { what: LimitedInput::Zones, count: zones, most: MAX_ZONES });
+    assert_eq!(refused, PlanError::TooMany { input: LimitedInput::Zones, count: zones, max: MAX_ZONES });
     assert!(refused.to_string().contains("leave site_plan() out"), "{refused}");
 }
 
--- a/src/failover/load_shift/error.rs
+++ b/src/failover/load_shift/error.rs
@@ -10,38 +10,38 @@
     #[error("site plans: none of {0} servers can take load; check the endpoint list and the weights of its servers")]
     NoTarget(usize),
     /// An input list is longer than its limit.
-    #[error("site plans: {count} {what} exceed the limit of {most}; merge small ones or remove site_plan() from the settings")]
+    #[error("site plans: {count} {input} exceed the limit of {max}; merge small ones or remove site_plan() from the settings")]
     TooMany {
         /// Kind of the input.
-        what: LimitedInput,
+        input: LimitedInput,
         /// Number of entries.
         count: usize,
         /// Maximum number of entries.
-        most: usize,
+        max: usize,
     },
     /// A value is out of range.
     #[error(
-        "site plans: {what} {at} is {value}, not between 0 and {most}; correct it in the settings or the endpoint list"
+        "site plans: {input} {index} is {value}, not between 0 and {max}; correct it in the settings or the endpoint list"
     )]
     Figure {
         /// Kind of the input.
-        what: Figure,
+        input: Figure,
         /// Index of the value.
-        at: usize,
+        index: usize,
         /// The value.
         value: f64,
         /// Maximum value.
-        most: f64,
+        max: f64,
     },
     /// The lengths of two lists do not match.
-    #[error("site plans: {what} has {count} entries instead of {most}; settings and forecast do not match, wait for the next forecast")]
+    #[error("site plans: {input} has {count} entries instead of {max}; settings and forecast do not match, wait for the next forecast")]
     Shape {
         /// The list.
-        what: InputList,
+        input: InputList,
         /// Number of its entries.
         count: usize,
         /// Expected or maximum number of entries.
-        most: usize,
+        max: usize,
     },
     /// The endpoint list names a server twice.
     #[error("site plans: server {0} is listed twice; correct the source of the endpoint list")]
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -87,8 +87,8 @@
             (LimitedInput::Servers, self.targets.len(), MAX_TARGETS),
             (LimitedInput::Classes, self.classes.len(), MAX_CLASSES),
         ];
-        match counts.into_iter().find(|&(_, count, most)| count > most) {
-            Some((what, count, most)) => Err(PlanError::TooMany { what, count, most }),
+        match counts.into_iter().find(|&(_, count, max)| count > max) {
+            Some((input, count, max)) => Err(PlanError::TooMany { input, count, max }),
             None => Ok(()),
         }
     }
@@ -100,8 +100,8 @@
             (InputList::MissRatios, self.miss_ratio.len()),
             (InputList::PriorityWeights, self.priority_weight.len()),
         ];
-        if let Some((what, count)) = exact.into_iter().find(|&(_, count)| count != classes) {
-            return Err(PlanError::Shape { what, count, most: classes });
+        if let Some((input, count)) = exact.into_iter().find(|&(_, count)| count != classes) {
+            return Err(PlanError::Shape { input, count, max: classes });
         }
         let at_most = [
             (InputList::Links, self.link_capacity.len(), self.zones),
@@ -109,8 +109,8 @@
             (InputList::ZoneLoad, longest, classes),
             (InputList::ParentMissRatios, self.parent_miss_ratio.len(), classes),
         ];
-        match at_most.into_iter().find(|&(_, count, most)| count > most) {
-            Some((what, count, most)) => Err(PlanError::Shape { what, count, most }),
+        match at_most.into_iter().find(|&(_, count, max)| count > max) {
+            Some((input, count, max)) => Err(PlanError::Shape { input, count, max }),
             None => Ok(()),
         }
     }
@@ -160,9 +160,9 @@
     (value + 0.0).to_bits()
 }
 
-fn check_range(what: Figure, values: impl Iterator<Item = f64>, most: f64) -> Result<(), PlanError> {
-    match values.enumerate().find(|(_, value)| !(0.0..=most).contains(value)) {
-        Some((at, value)) => Err(PlanError::Figure { what, at, value, most }),
+fn check_range(input: Figure, values: impl Iterator<Item = f64>, max: f64) -> Result<(), PlanError> {
+    match values.enumerate().find(|(_, value)| !(0.0..=max).contains(value)) {
+        Some((index, value)) => Err(PlanError::Figure { input, index, value, max }),
         None => Ok(()),
     }
 }
--- a/src/failover/load_shift/tests.rs
+++ b/src/failover/load_shift/tests.rs
@@ -338,7 +338,7 @@
     };
     for value in [f64::NAN, f64::INFINITY, -1.0, 2e9] {
         let position = |error| match error {
-            PlanError::Figure { what, at, .. } => (what, at),
+            PlanError::Figure { input, index, .. } => (input, index),
             other => panic!("{other}"),
         };
         assert_eq!(position(error_of(&|i| i.targets[1].capacity = value)), (Figure::Capacity, 1));
@@ -348,14 +348,14 @@
         assert_eq!(position(error_of(&|i| i.priority_weight[3] = value)), (Figure::PriorityWeight, 3));
         assert_eq!(position(error_of(&|i| i.settings.headroom = value)).1, 0);
     }
-    assert!(matches!(error_of(&|i| i.targets[0].zone = 3), PlanError::Figure { what: Figure::Zone, .. }));
+    assert!(matches!(error_of(&|i| i.targets[0].zone = 3), PlanError::Figure { input: Figure::Zone, .. }));
     assert!(matches!(
         error_of(&|i| i.zones = 200),
-        PlanError::TooMany { what: LimitedInput::Zones, count: 200, .. }
+        PlanError::TooMany { input: LimitedInput::Zones, count: 200, .. }
     ));
     assert!(matches!(
         error_of(&|i| i.priority_weight.truncate(2)),
-        PlanError::Shape { count: 2, most: 4, .. }
+        PlanError::Shape { count: 2, max: 4, .. }
     ));
     assert_eq!(error_of(&|i| i.targets[1].server = "a".into()), PlanError::DuplicateServer("a".into()));
     assert_eq!(error_of(&|i| i.targets.iter_mut().for_each(|t| t.capacity = 0.0)), PlanError::NoTarget(4));
