--- a/src/failover/load_shift/allocation.rs
+++ b/src/failover/load_shift/allocation.rs
@@ -124,8 +124,8 @@
         let mut flows = vec![vec![Vec::new(); inputs.classes.len()]; inputs.zones];
         for (demand, allocated) in self.model.demands.iter().zip(&self.allocated) {
             for (route, &work) in demand.routes.iter().zip(allocated).filter(|(_, &work)| work > 0.0) {
-                let filled = work * route.filled;
-                let flow = Flow { cache: route.cache, source: route.source, work, filled };
+                let source_work = work * route.source_work_per_unit;
+                let flow = Flow { cache: route.cache, source: route.source, work, source_work };
                 flows[demand.zone][demand.class].push(flow);
             }
         }
--- a/src/failover/load_shift/constraints.rs
+++ b/src/failover/load_shift/constraints.rs
@@ -83,15 +83,15 @@
         for WeightedPlan { weight, plan } in &mixed {
             total_work.iter_mut().zip(&plan.work).for_each(|(sum, work)| *sum += weight * work);
             for class in 0..plans.inputs.classes.len() {
-                let sent = plan.sent(query.zone, class);
+                let sent = plan.work_by_target(query.zone, class);
                 sent.into_iter().for_each(|part| own_zone_work[part.target] += weight * part.work);
             }
         }
         MixedPlan { plans: mixed, own_zone_work, total_work }
     }
 
-    fn sum(&self, figure: impl Fn(&Plan) -> f64) -> f64 {
-        self.plans.iter().map(|part| part.weight * figure(&part.plan)).sum()
+    fn sum(&self, value: impl Fn(&Plan) -> f64) -> f64 {
+        self.plans.iter().map(|part| part.weight * value(&part.plan)).sum()
     }
 
     fn any(&self, test: impl Fn(&Plan) -> bool) -> bool {
@@ -171,7 +171,7 @@
         if !mixed.any(rejects) || self.inputs.runs_at_origin(class) {
             return None;
         }
-        Some(mixed.sum(|plan| plan.filled(query.zone, class)) / query.zone_instances())
+        Some(mixed.sum(|plan| plan.source_work(query.zone, class)) / query.zone_instances())
     }
 
     fn cross_zone_caches(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> Vec<Id> {
--- a/src/failover/load_shift/error.rs
+++ b/src/failover/load_shift/error.rs
@@ -23,9 +23,9 @@
     #[error(
         "site plans: {input} {index} is {value}, not between 0 and {max}; correct it in the settings or the endpoint list"
     )]
-    Figure {
+    OutOfRange {
         /// Kind of the input.
-        input: Figure,
+        input: InputValue,
         /// Index of the value.
         index: usize,
         /// The value.
@@ -35,7 +35,7 @@
     },
     /// The lengths of two lists do not match.
     #[error("site plans: {input} has {count} entries instead of {max}; settings and forecast do not match, wait for the next forecast")]
-    Shape {
+    LengthMismatch {
         /// The list.
         input: InputList,
         /// Number of its entries.
@@ -71,7 +71,7 @@
 
 /// A numeric input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
+pub enum InputValue {
     /// Capacity of a server.
     Capacity,
     /// Price of a server.
@@ -92,18 +92,18 @@
     HeadroomOrFloor,
 }
 
-impl fmt::Display for Figure {
+impl fmt::Display for InputValue {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Figure::Capacity => "the capacity of server",
-            Figure::Price => "the price of server",
-            Figure::Zone => "the zone of server",
-            Figure::Link => "the link capacity of zone",
-            Figure::Load => "the load of class",
-            Figure::MissRatio => "the miss ratio of class",
-            Figure::ParentMissRatio => "the parent miss ratio of class",
-            Figure::PriorityWeight => "the priority weight of class",
-            Figure::HeadroomOrFloor => "headroom or floor",
+            InputValue::Capacity => "the capacity of server",
+            InputValue::Price => "the price of server",
+            InputValue::Zone => "the zone of server",
+            InputValue::Link => "the link capacity of zone",
+            InputValue::Load => "the load of class",
+            InputValue::MissRatio => "the miss ratio of class",
+            InputValue::ParentMissRatio => "the parent miss ratio of class",
+            InputValue::PriorityWeight => "the priority weight of class",
+            InputValue::HeadroomOrFloor => "headroom or floor",
         })
     }
 }
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -1,6 +1,6 @@
 //! Inputs of the plans, their validation, and the order of targets that all instances agree on.
 
-use super::error::{Figure, InputList, LimitedInput, PlanError};
+use super::error::{InputList, InputValue, LimitedInput, PlanError};
 use crate::failover::{Settings, Zone};
 use crate::routing::events::{Class, Id, Idempotency, Role};
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,7 +12,7 @@
 /// Maximum number of classes.
 pub const MAX_CLASSES: usize = 32;
 /// Maximum value of a load, capacity, link, price or priority weight.
-pub const MAX_FIGURE: f64 = 1e9;
+pub const MAX_VALUE: f64 = 1e9;
 
 /// A server that plans can send load to.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,7 +65,7 @@
     pub(super) fn checked(mut self) -> Result<Inputs, PlanError> {
         self.check_counts()?;
         self.check_lengths()?;
-        self.check_figures()?;
+        self.check_values()?;
         if !self.targets.iter().any(|target| target.capacity > 0.0) {
             return Err(PlanError::NoTarget(self.targets.len()));
         }
@@ -101,7 +101,7 @@
             (InputList::PriorityWeights, self.priority_weight.len()),
         ];
         if let Some((input, count)) = exact.into_iter().find(|&(_, count)| count != classes) {
-            return Err(PlanError::Shape { input, count, max: classes });
+            return Err(PlanError::LengthMismatch { input, count, max: classes });
         }
         let at_most = [
             (InputList::Links, self.link_capacity.len(), self.zones),
@@ -110,26 +110,26 @@
             (InputList::ParentMissRatios, self.parent_miss_ratio.len(), classes),
         ];
         match at_most.into_iter().find(|&(_, count, max)| count > max) {
-            Some((input, count, max)) => Err(PlanError::Shape { input, count, max }),
+            Some((input, count, max)) => Err(PlanError::LengthMismatch { input, count, max }),
             None => Ok(()),
         }
     }
 
-    fn check_figures(&self) -> Result<(), PlanError> {
+    fn check_values(&self) -> Result<(), PlanError> {
         let targets = || self.targets.iter();
-        check_range(Figure::Capacity, targets().map(|target| target.capacity), MAX_FIGURE)?;
-        check_range(Figure::Price, targets().map(|target| target.price), MAX_FIGURE)?;
+        check_range(InputValue::Capacity, targets().map(|target| target.capacity), MAX_VALUE)?;
+        check_range(InputValue::Price, targets().map(|target| target.price), MAX_VALUE)?;
         let last_zone = self.zones as f64 - 1.0;
-        check_range(Figure::Zone, targets().map(|target| target.zone as f64), last_zone)?;
-        check_range(Figure::Link, self.link_capacity.iter().copied(), MAX_FIGURE)?;
+        check_range(InputValue::Zone, targets().map(|target| target.zone as f64), last_zone)?;
+        check_range(InputValue::Link, self.link_capacity.iter().copied(), MAX_VALUE)?;
         for zone in &self.load {
-            check_range(Figure::Load, zone.iter().copied(), MAX_FIGURE)?;
+            check_range(InputValue::Load, zone.iter().copied(), MAX_VALUE)?;
         }
-        check_range(Figure::MissRatio, self.miss_ratio.iter().copied(), 1.0)?;
-        check_range(Figure::ParentMissRatio, self.parent_miss_ratio.iter().copied(), 1.0)?;
-        check_range(Figure::PriorityWeight, self.priority_weight.iter().copied(), MAX_FIGURE)?;
+        check_range(InputValue::MissRatio, self.miss_ratio.iter().copied(), 1.0)?;
+        check_range(InputValue::ParentMissRatio, self.parent_miss_ratio.iter().copied(), 1.0)?;
+        check_range(InputValue::PriorityWeight, self.priority_weight.iter().copied(), MAX_VALUE)?;
         let fractions = [self.settings.headroom, self.settings.floor];
-        check_range(Figure::HeadroomOrFloor, fractions.into_iter(), 1.0)
+        check_range(InputValue::HeadroomOrFloor, fractions.into_iter(), 1.0)
     }
 
     /// Returns the number of validated inputs, which is the same on all instances with equal inputs and never 0.
@@ -147,8 +147,8 @@
         }
         for target in &self.targets {
             let place = [target.role as u64, target.zone as u64, target.server.len() as u64];
-            let figures = [bits(target.capacity), bits(target.price)];
-            place.into_iter().chain(figures).for_each(&mut put);
+            let values = [bits(target.capacity), bits(target.price)];
+            place.into_iter().chain(values).for_each(&mut put);
         }
         self.targets.iter().for_each(|target| bytes.extend_from_slice(target.server.as_bytes()));
         nonzero_hash(&bytes)
@@ -160,9 +160,9 @@
     (value + 0.0).to_bits()
 }
 
-fn check_range(input: Figure, values: impl Iterator<Item = f64>, max: f64) -> Result<(), PlanError> {
+fn check_range(input: InputValue, values: impl Iterator<Item = f64>, max: f64) -> Result<(), PlanError> {
     match values.enumerate().find(|(_, value)| !(0.0..=max).contains(value)) {
-        Some((index, value)) => Err(PlanError::Figure { input, index, value, max }),
+        Some((index, value)) => Err(PlanError::OutOfRange { input, index, value, max }),
         None => Ok(()),
     }
 }
--- a/src/failover/load_shift/mod.rs
+++ b/src/failover/load_shift/mod.rs
@@ -33,7 +33,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use error::{Figure, InputList, LimitedInput, PlanError};
-pub use inputs::{Inputs, Target, MAX_CLASSES, MAX_FIGURE, MAX_TARGETS, MAX_ZONES};
+pub use error::{InputList, InputValue, LimitedInput, PlanError};
+pub use inputs::{Inputs, Target, MAX_CLASSES, MAX_TARGETS, MAX_VALUE, MAX_ZONES};
 pub use plan::{Plan, TargetWork};
 pub use plans::{PlanBuilder, Plans, MAX_PAIRED_ZONES};
--- a/src/failover/load_shift/model.rs
+++ b/src/failover/load_shift/model.rs
@@ -37,7 +37,7 @@
     pub cache: Option<usize>,
     pub source: Option<usize>,
     /// Work that the source does for one unit of work on the route.
-    pub filled: f64,
+    pub source_work_per_unit: f64,
     pub price: f64,
     pub uses: Vec<Use>,
 }
@@ -158,7 +158,7 @@
         class: usize,
         cache: Option<usize>,
         source: Option<usize>,
-        filled: f64,
+        source_work_per_unit: f64,
     ) -> Route {
         let mut price = 0.0;
         let mut uses = Vec::with_capacity(MAX_USES);
@@ -173,12 +173,12 @@
         }
         if let Some(source) = source {
             let group = &self.groups[source];
-            add_use(&mut uses, source, filled);
-            price += group.price * filled;
+            add_use(&mut uses, source, source_work_per_unit);
+            price += group.price * source_work_per_unit;
             if let Some(cache_group) = cache_group {
-                add_use(&mut uses, link_of(cache_group.zone), filled);
+                add_use(&mut uses, link_of(cache_group.zone), source_work_per_unit);
             }
-            let from_origin = self.inputs.parent_miss_ratio[class] * filled;
+            let from_origin = self.inputs.parent_miss_ratio[class] * source_work_per_unit;
             if group.role == Role::Parent && from_origin > 0.0 {
                 if let Some(origin) = self.groups_of(Role::Origin).next() {
                     add_use(&mut uses, origin, from_origin.max(MIN_PARENT_MISS_RATIO));
@@ -186,7 +186,7 @@
             }
         }
         uses.retain(|used: &Use| self.capacities[used.capacity].is_finite() && used.per_unit > 0.0);
-        Route { cache, source, filled, price, uses }
+        Route { cache, source, source_work_per_unit, price, uses }
     }
 }
 
--- a/src/failover/load_shift/plan.rs
+++ b/src/failover/load_shift/plan.rs
@@ -55,7 +55,7 @@
     pub source: Option<usize>,
     pub work: f64,
     /// Work that the source does for this flow.
-    pub filled: f64,
+    pub source_work: f64,
 }
 
 /// How load is served while certain zones are lost.
@@ -83,7 +83,7 @@
 
 impl Plan {
     /// Returns the work of a class that a zone causes, by target: sent to it directly, or as the source of cache fills.
-    pub fn sent(&self, zone: Zone, class: usize) -> Vec<TargetWork> {
+    pub fn work_by_target(&self, zone: Zone, class: usize) -> Vec<TargetWork> {
         let mut sent = BTreeMap::new();
         let mut add = |group: Option<usize>, work: f64| {
             let Some(group) = group.map(|group| &self.groups[group]) else { return };
@@ -91,15 +91,15 @@
         };
         for flow in self.flows(zone, class) {
             add(flow.cache, flow.work);
-            add(flow.source, flow.filled);
+            add(flow.source, flow.source_work);
         }
         let sent = sent.into_iter().filter(|&(_, work)| work > 0.0);
         sent.map(|(target, work)| TargetWork { target, work }).collect()
     }
 
     /// Returns the work that sources do for a zone and class.
-    pub fn filled(&self, zone: Zone, class: usize) -> f64 {
-        self.flows(zone, class).iter().map(|flow| flow.filled).sum()
+    pub fn source_work(&self, zone: Zone, class: usize) -> f64 {
+        self.flows(zone, class).iter().map(|flow| flow.source_work).sum()
     }
 
     /// Returns whether requests are rejected in a zone.
--- a/src/failover/load_shift/plans.rs
+++ b/src/failover/load_shift/plans.rs
@@ -2,7 +2,7 @@
 
 use super::error::PlanError;
 use super::greedy::allocate_greedily;
-use super::inputs::{Inputs, Target, MAX_FIGURE};
+use super::inputs::{Inputs, Target, MAX_VALUE};
 use super::model::Model;
 use super::plan::Plan;
 use super::solver::solve;
@@ -48,7 +48,7 @@
         let mut inputs = Inputs::clone(&self.inputs);
         for (load, factor) in inputs.load.iter_mut().zip(growth) {
             let factor = if factor.is_finite() { factor.max(0.0) } else { 1.0 };
-            load.iter_mut().for_each(|load| *load = (*load * factor).min(MAX_FIGURE));
+            load.iter_mut().for_each(|load| *load = (*load * factor).min(MAX_VALUE));
         }
         let lost = [lost];
         let model = Model::new(&inputs, &lost);
--- a/src/failover/load_shift/tests.rs
+++ b/src/failover/load_shift/tests.rs
@@ -117,14 +117,14 @@
             prop_assert!(inputs.settings.cross_zone_caches || cache.is_none_or(|c| c.zone == zone));
             prop_assert!(inputs.may_bypass_caches || class > 1 || cache.is_some());
             flow.cache.iter().for_each(|&g| groups[g] += flow.work);
-            flow.source.iter().for_each(|&g| groups[g] += flow.filled);
-            links[cache.map_or(zone, |c| c.zone)] += flow.filled;
+            flow.source.iter().for_each(|&g| groups[g] += flow.source_work);
+            links[cache.map_or(zone, |c| c.zone)] += flow.source_work;
             if cache.is_some_and(|c| c.zone != zone) {
                 links[zone] += flow.work;
             }
             if source.is_some_and(|s| s.role == Role::Parent) {
                 let origin = plan.groups.iter().position(|g| g.role == Role::Origin);
-                origin.iter().for_each(|&o| groups[o] += flow.filled * inputs.parent_miss_ratio[class]);
+                origin.iter().for_each(|&o| groups[o] += flow.source_work * inputs.parent_miss_ratio[class]);
             }
             served += flow.work;
         }
@@ -316,7 +316,10 @@
 fn plans_exist_for_the_loss_of_all_parents_for_no_load_and_for_a_single_zone() {
     let plans = Plans::make(&small_inputs()).unwrap();
     let without_parents = plans.for_lost(&[2]);
-    assert!(without_parents.sent(0, 0).iter().all(|s| plans.targets()[s.target].role != Role::Parent));
+    assert!(without_parents
+        .work_by_target(0, 0)
+        .iter()
+        .all(|s| plans.targets()[s.target].role != Role::Parent));
     assert!(
         without_parents.admitted[0][0] >= 0.9 && without_parents.keeps_floors,
         "hits are still served: {:?}",
@@ -338,24 +341,27 @@
     };
     for value in [f64::NAN, f64::INFINITY, -1.0, 2e9] {
         let position = |error| match error {
-            PlanError::Figure { input, index, .. } => (input, index),
+            PlanError::OutOfRange { input, index, .. } => (input, index),
             other => panic!("{other}"),
         };
-        assert_eq!(position(error_of(&|i| i.targets[1].capacity = value)), (Figure::Capacity, 1));
-        assert_eq!(position(error_of(&|i| i.load[1][2] = value)), (Figure::Load, 2));
-        assert_eq!(position(error_of(&|i| i.miss_ratio[1] = value)), (Figure::MissRatio, 1));
-        assert_eq!(position(error_of(&|i| i.link_capacity = vec![1.0, value])), (Figure::Link, 1));
-        assert_eq!(position(error_of(&|i| i.priority_weight[3] = value)), (Figure::PriorityWeight, 3));
+        assert_eq!(position(error_of(&|i| i.targets[1].capacity = value)), (InputValue::Capacity, 1));
+        assert_eq!(position(error_of(&|i| i.load[1][2] = value)), (InputValue::Load, 2));
+        assert_eq!(position(error_of(&|i| i.miss_ratio[1] = value)), (InputValue::MissRatio, 1));
+        assert_eq!(position(error_of(&|i| i.link_capacity = vec![1.0, value])), (InputValue::Link, 1));
+        assert_eq!(position(error_of(&|i| i.priority_weight[3] = value)), (InputValue::PriorityWeight, 3));
         assert_eq!(position(error_of(&|i| i.settings.headroom = value)).1, 0);
     }
-    assert!(matches!(error_of(&|i| i.targets[0].zone = 3), PlanError::Figure { input: Figure::Zone, .. }));
+    assert!(matches!(
+        error_of(&|i| i.targets[0].zone = 3),
+        PlanError::OutOfRange { input: InputValue::Zone, .. }
+    ));
     assert!(matches!(
         error_of(&|i| i.zones = 200),
         PlanError::TooMany { input: LimitedInput::Zones, count: 200, .. }
     ));
     assert!(matches!(
         error_of(&|i| i.priority_weight.truncate(2)),
-        PlanError::Shape { count: 2, max: 4, .. }
+        PlanError::LengthMismatch { count: 2, max: 4, .. }
     ));
     assert_eq!(error_of(&|i| i.targets[1].server = "a".into()), PlanError::DuplicateServer("a".into()));
     assert_eq!(error_of(&|i| i.targets.iter_mut().for_each(|t| t.capacity = 0.0)), PlanError::NoTarget(4));
--- a/tests/core_decisions/site_plans.rs
+++ b/tests/core_decisions/site_plans.rs
@@ -83,8 +83,8 @@
         digest.floats(admitted);
         digest.flag(plan.rejects_in(zone));
         for class in 0..admitted.len() {
-            digest.float(plan.filled(zone, class));
-            for TargetWork { target, work } in plan.sent(zone, class) {
+            digest.float(plan.source_work(zone, class));
+            for TargetWork { target, work } in plan.work_by_target(zone, class) {
                 digest.count(target);
                 digest.float(work);
             }
