--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -118,7 +118,7 @@
         let until = self.now + span;
         for _ in 0..STEPS {
             let timer =
-                self.members.iter().enumerate().filter_map(|(n, m)| Some((m.as_ref()?.next(), n))).min();
+                self.members.iter().enumerate().filter_map(|(n, m)| Some((m.as_ref()?.next_due(), n))).min();
             let datagram = self.on_way.peek().map(|d| d.0 .0);
             let next = timer.map(|t| t.0).into_iter().chain(datagram).min().filter(|&t| t <= until);
             let Some(next) = next else { break };
@@ -127,7 +127,7 @@
             let who = if datagram == Some(next) {
                 let Some(Reverse((_, _, from, to, bytes))) = self.on_way.pop() else { break };
                 if let Some(gossip) = &mut self.members[to] {
-                    let _ = gossip.received(self.now, from as MemberId, &bytes, &mut actions);
+                    let _ = gossip.receive(self.now, from as MemberId, &bytes, &mut actions);
                 }
                 to
             } else {
@@ -148,7 +148,7 @@
                 Action::Changed { member, state, .. } => {
                     self.changes.push(Change { at: self.now, by, member: usize::from(member), state });
                 }
-                Action::Noted { .. } => {}
+                Action::NoteReceived { .. } => {}
                 Action::Send { to, bytes } => {
                     self.sent.0 += 1;
                     self.sent.1 += bytes.len() as u64;
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -1,71 +1,71 @@
-//! All that plans are made from, checked, in the one order that all instances have.
+//! Inputs of the plans, their validation, and the order of targets that all instances agree on.
 
-use super::error::{Counted, Figure, InputList, PlanError};
+use super::error::{InputList, InputValue, LimitedInput, PlanError};
 use crate::failover::{Settings, Zone};
 use crate::routing::events::{Class, Id, Idempotency, Role};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most zones that plans are made for.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 128;
-/// Most targets.
+/// Maximum number of targets.
 pub const MAX_TARGETS: usize = 4_096;
-/// Most classes.
+/// Maximum number of classes.
 pub const MAX_CLASSES: usize = 32;
-/// Largest figure of a load, capacity, link, price or priority weight.
-pub const MAX_FIGURE: f64 = 1e9;
+/// Maximum value of a load, capacity, link, price or priority weight.
+pub const MAX_VALUE: f64 = 1e9;
 
-/// A server that load can go to.
+/// A server that plans can send load to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Its name.
+    /// Name of the server.
     pub server: Id,
-    /// What it is.
+    /// Role of the server.
     pub role: Role,
-    /// Its zone. The origin is lost with no zone.
+    /// Zone of the server. The origin is not lost with its zone.
     pub zone: Zone,
-    /// Transfers at full rate that it can do; 0: it takes nothing.
+    /// Number of concurrent transfers at full rate that the server can do; 0 if it takes no load.
     pub capacity: f64,
-    /// Price of one unit of work there, in the measure of [`Inputs::priority_weight`].
+    /// Price of one unit of work at this server, in the unit of [`Inputs::priority_weight`].
     pub price: f64,
 }
 
-/// All that plans are made from. Work is counted in transfers at full rate.
+/// All inputs of the plans. The unit of work is a transfer at full rate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Inputs {
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// The servers, in any order.
+    /// Servers, in any order.
     pub targets: Vec<Target>,
-    /// What each zone's link in can carry; 0 or absent: it has no limit.
+    /// Capacity of each zone's inbound link; 0 or absent if it has no limit.
     pub link_capacity: Vec<f64>,
-    /// Work wanted, by zone and class; absent: none.
+    /// Requested work, by zone and class; absent entries count as 0.
     pub load: Vec<Vec<f64>>,
-    /// Part of each class's work that caches have to fill while they stand, 0 to 1.
+    /// Fraction of each class's work that misses in the caches, 0 to 1.
     pub miss_ratio: Vec<f64>,
-    /// Part of a parent's work of each class that it gets from the origin, 0 to 1; absent: none.
+    /// Fraction of a parent's work of each class that it fetches from the origin, 0 to 1; absent entries count as 0.
     pub parent_miss_ratio: Vec<f64>,
-    /// Weight of one unit of work, by class.
+    /// Priority weight of one unit of work, by class.
     pub priority_weight: Vec<f64>,
-    /// The classes, by number.
+    /// Request classes, by number.
     pub classes: Vec<Class>,
-    /// Headroom, floor and whether load may go to caches of other zones.
+    /// Settings of the plans; headroom, floor and `cross_zone_caches` are used.
     pub settings: Settings,
-    /// Requests may go straight to a parent or the origin.
+    /// Whether requests may go directly to a parent or the origin.
     pub may_bypass_caches: bool,
 }
 
 impl Inputs {
-    /// Whether a class is served by the origin alone, and rejected after all that caches can serve.
+    /// Returns whether only the origin can serve a class. Such a class is rejected after all that caches can serve.
     pub fn runs_at_origin(&self, class: usize) -> bool {
         let class = self.classes.get(class);
         class.is_some_and(|class| class.uncacheable || class.idempotency == Idempotency::NotIdempotent)
     }
 
-    /// Checks all figures and brings the targets into the order that all instances have.
+    /// Validates all inputs and sorts the targets by server, so that all instances have the same order.
     pub(super) fn checked(mut self) -> Result<Inputs, PlanError> {
         self.check_counts()?;
         self.check_lengths()?;
-        self.check_figures()?;
+        self.check_values()?;
         if !self.targets.iter().any(|target| target.capacity > 0.0) {
             return Err(PlanError::NoTarget(self.targets.len()));
         }
@@ -83,12 +83,12 @@
 
     fn check_counts(&self) -> Result<(), PlanError> {
         let counts = [
-            (Counted::Zones, self.zones, MAX_ZONES),
-            (Counted::Servers, self.targets.len(), MAX_TARGETS),
-            (Counted::Classes, self.classes.len(), MAX_CLASSES),
+            (LimitedInput::Zones, self.zones, MAX_ZONES),
+            (LimitedInput::Servers, self.targets.len(), MAX_TARGETS),
+            (LimitedInput::Classes, self.classes.len(), MAX_CLASSES),
         ];
-        match counts.into_iter().find(|&(_, count, most)| count > most) {
-            Some((what, count, most)) => Err(PlanError::TooMany { what, count, most }),
+        match counts.into_iter().find(|&(_, count, max)| count > max) {
+            Some((input, count, max)) => Err(PlanError::TooMany { input, count, max }),
             None => Ok(()),
         }
     }
@@ -100,8 +100,8 @@
             (InputList::MissRatios, self.miss_ratio.len()),
             (InputList::PriorityWeights, self.priority_weight.len()),
         ];
-        if let Some((what, count)) = exact.into_iter().find(|&(_, count)| count != classes) {
-            return Err(PlanError::Shape { what, count, most: classes });
+        if let Some((input, count)) = exact.into_iter().find(|&(_, count)| count != classes) {
+            return Err(PlanError::LengthMismatch { input, count, max: classes });
         }
         let at_most = [
             (InputList::Links, self.link_capacity.len(), self.zones),
@@ -109,30 +109,30 @@
             (InputList::ZoneLoad, longest, classes),
             (InputList::ParentMissRatios, self.parent_miss_ratio.len(), classes),
         ];
-        match at_most.into_iter().find(|&(_, count, most)| count > most) {
-            Some((what, count, most)) => Err(PlanError::Shape { what, count, most }),
+        match at_most.into_iter().find(|&(_, count, max)| count > max) {
+            Some((input, count, max)) => Err(PlanError::LengthMismatch { input, count, max }),
             None => Ok(()),
         }
     }
 
-    fn check_figures(&self) -> Result<(), PlanError> {
+    fn check_values(&self) -> Result<(), PlanError> {
         let targets = || self.targets.iter();
-        check_range(Figure::Capacity, targets().map(|target| target.capacity), MAX_FIGURE)?;
-        check_range(Figure::Price, targets().map(|target| target.price), MAX_FIGURE)?;
+        check_range(InputValue::Capacity, targets().map(|target| target.capacity), MAX_VALUE)?;
+        check_range(InputValue::Price, targets().map(|target| target.price), MAX_VALUE)?;
         let last_zone = self.zones as f64 - 1.0;
-        check_range(Figure::Zone, targets().map(|target| target.zone as f64), last_zone)?;
-        check_range(Figure::Link, self.link_capacity.iter().copied(), MAX_FIGURE)?;
+        check_range(InputValue::Zone, targets().map(|target| target.zone as f64), last_zone)?;
+        check_range(InputValue::Link, self.link_capacity.iter().copied(), MAX_VALUE)?;
         for zone in &self.load {
-            check_range(Figure::Load, zone.iter().copied(), MAX_FIGURE)?;
+            check_range(InputValue::Load, zone.iter().copied(), MAX_VALUE)?;
         }
-        check_range(Figure::MissRatio, self.miss_ratio.iter().copied(), 1.0)?;
-        check_range(Figure::ParentMissRatio, self.parent_miss_ratio.iter().copied(), 1.0)?;
-        check_range(Figure::PriorityWeight, self.priority_weight.iter().copied(), MAX_FIGURE)?;
-        let parts = [self.settings.headroom, self.settings.floor];
-        check_range(Figure::HeadroomOrFloor, parts.into_iter(), 1.0)
+        check_range(InputValue::MissRatio, self.miss_ratio.iter().copied(), 1.0)?;
+        check_range(InputValue::ParentMissRatio, self.parent_miss_ratio.iter().copied(), 1.0)?;
+        check_range(InputValue::PriorityWeight, self.priority_weight.iter().copied(), MAX_VALUE)?;
+        let fractions = [self.settings.headroom, self.settings.floor];
+        check_range(InputValue::HeadroomOrFloor, fractions.into_iter(), 1.0)
     }
 
-    /// The number of checked inputs, which all instances with equal inputs have; never 0.
+    /// Returns the number of validated inputs, which is the same on all instances with equal inputs and never 0.
     pub(super) fn number(&self) -> u32 {
         let mut bytes = Vec::new();
         let mut put = |value: u64| bytes.extend_from_slice(&value.to_le_bytes());
@@ -147,27 +147,27 @@
         }
         for target in &self.targets {
             let place = [target.role as u64, target.zone as u64, target.server.len() as u64];
-            let figures = [bits(target.capacity), bits(target.price)];
-            place.into_iter().chain(figures).for_each(&mut put);
+            let values = [bits(target.capacity), bits(target.price)];
+            place.into_iter().chain(values).for_each(&mut put);
         }
         self.targets.iter().for_each(|target| bytes.extend_from_slice(target.server.as_bytes()));
         nonzero_hash(&bytes)
     }
 }
 
-/// The bits of a figure; adding 0 makes one zero out of both.
+/// Returns the bits of a value; adding 0 maps negative zero to positive zero.
 fn bits(value: f64) -> u64 {
     (value + 0.0).to_bits()
 }
 
-fn check_range(what: Figure, values: impl Iterator<Item = f64>, most: f64) -> Result<(), PlanError> {
-    match values.enumerate().find(|(_, value)| !(0.0..=most).contains(value)) {
-        Some((at, value)) => Err(PlanError::Figure { what, at, value, most }),
+fn check_range(input: InputValue, values: impl Iterator<Item = f64>, max: f64) -> Result<(), PlanError> {
+    match values.enumerate().find(|(_, value)| !(0.0..=max).contains(value)) {
+        Some((index, value)) => Err(PlanError::OutOfRange { input, index, value, max }),
         None => Ok(()),
     }
 }
 
-/// A hash of 32 bits that is never 0, which stands for "none" in reports.
+/// Returns a 32-bit hash that is never 0, because 0 stands for "none" in reports.
 pub(super) fn nonzero_hash(bytes: &[u8]) -> u32 {
     let hash = xxh3_64(bytes);
     ((hash ^ (hash >> 32)) as u32).max(1)
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -88,7 +88,7 @@
 
 impl PeerGossip {
     fn new(peering: Peering, incarnation: Incarnation, seed: u64, now: Micros, log: Logger) -> Self {
-        let config = Config::of(peering.me, peering.members.len() as MemberId);
+        let config = Config::new(peering.me, peering.members.len() as MemberId);
         PeerGossip {
             log,
             socket: None,
@@ -175,7 +175,7 @@
             match self.peering.members.iter().position(|address| *address == from) {
                 Some(member) => {
                     // The view itself counts what it can't read.
-                    let _ = self.gossip.received(now, member as MemberId, &bytes[..length], actions);
+                    let _ = self.gossip.receive(now, member as MemberId, &bytes[..length], actions);
                 }
                 None => self.from_unknown_addresses += 1,
             }
@@ -220,7 +220,7 @@
                 }
                 self.queue.push_back(Outgoing { to, bytes });
             }
-            Action::Noted { .. } => {}
+            Action::NoteReceived { .. } => {}
             Action::Changed { member, state: State::Alive, incarnation } => {
                 debug!(self.log, "peer alive"; "member" => member, "incarnation" => incarnation);
             }
@@ -249,7 +249,7 @@
     fn schedule(&mut self, now: Micros) -> Option<Micros> {
         self.socket.as_ref()?;
         let next_send = if self.queue.is_empty() { Micros::MAX } else { self.budget.next_send() };
-        let next = self.gossip.next().min(next_send).max(now + MILLISECOND);
+        let next = self.gossip.next_due().min(next_send).max(now + MILLISECOND);
         if self.next_tick.is_some_and(|tick| next >= tick) {
             return None;
         }
