--- a/src/proxy/failover.rs
+++ b/src/proxy/failover.rs
@@ -1,6 +1,7 @@
-//! Failover of whole sites: joins the judgement of sites and the failover plans (`crate::failover`) to the turns of the
-//! fleet (`fleet.rs`, which owns this). How attempts ended, the list of endpoints and the notes of peers go in;
-//! constraints for the router, this instance's part of its own note and log lines come out. It decides nothing itself.
+//! Failover of whole sites: connects failure detection and failover plans (`crate::failover`) to the turns of
+//! `fleet.rs`, which owns this module's state. Inputs are the results of attempts, the endpoint list and the
+//! notes of peers. Outputs are constraints for the router, this instance's part of its own note, and log
+//! lines. All decisions are made in `crate::failover`.
 
 #[cfg(test)]
 mod tests;
@@ -21,12 +22,13 @@
 use slog::{info, warn, Logger};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Transfers at full pace that all instances together send one server of a lost site, to see whether it is back.
+/// Rate of probes, in transfers at full speed, that all instances together send to each server of a lost site
+/// in order to detect its return.
 const PROBE_TRANSFERS: f64 = 0.2;
-/// Least part of its capacity that an endpoint which starts cold is given.
-const LEAST_INITIAL_SHARE: f64 = 0.01;
+/// Minimum share of its capacity that an endpoint receives after a cold start.
+const MIN_INITIAL_SHARE: f64 = 0.01;
 
-/// How an attempt ended, for the sites of the endpoint and of the source that it was filled from.
+/// Result of an attempt, as recorded for the sites of the endpoint and of the source of a fill.
 pub(super) struct AttemptEnd<'a> {
     pub endpoint: &'a Id,
     pub source: Option<&'a Id>,
@@ -35,8 +37,8 @@
 }
 
 impl AttemptEnd<'_> {
-    /// What the end tells of the endpoint.
-    fn at_endpoint(&self) -> Option<AttemptOutcome> {
+    /// Returns what the result shows about the endpoint's site, or `None` if the result shows nothing.
+    fn endpoint_outcome(&self) -> Option<AttemptOutcome> {
         match self.status {
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Rejected | AttemptStatus::Error => {
                 Some(AttemptOutcome::InTime)
@@ -48,8 +50,9 @@
         }
     }
 
-    /// What it tells of the source: only a fill proves that the source answered, any failure may be the source's.
-    fn at_source(&self) -> Option<AttemptOutcome> {
+    /// Returns what the result shows about the source's site. Only a fill proves that the source responded,
+    /// while an error or a timeout may be due to the source.
+    fn source_outcome(&self) -> Option<AttemptOutcome> {
         let filled = matches!(self.cache_status, CacheStatus::Filled | CacheStatus::Joined);
         match self.status {
             AttemptStatus::Served if filled => Some(AttemptOutcome::InTime),
@@ -59,7 +62,7 @@
     }
 }
 
-/// Changes of a site's state so far, by the state that they led to.
+/// Number of changes of site states since the start, by the new state.
 #[derive(Default)]
 struct TransitionCounts {
     suspected: u64,
@@ -78,45 +81,46 @@
     }
 }
 
-/// The next check whether a site's loss could be borne: of which zone, and so many weeks ahead.
+/// Next check of whether the remaining sites could carry the load of a lost zone, `week` weeks ahead.
 #[derive(Clone, Copy, Default)]
 struct LossCheck {
     zone: Zone,
     week: usize,
 }
 
-/// The site failover of one instance.
+/// Site failover state of one instance.
 pub(super) struct SiteFailover {
     settings: Settings,
-    /// The instance's own zone.
+    /// Zone of this instance.
     zone: Zone,
-    /// The judgement has one zone more, for the origins.
+    /// Number of zones; the failure detector has one more, which stands for the origins.
     zone_count: usize,
     failure_detector: FailureDetector,
-    /// The endpoints that plans are made with: those that are healthy, and all that a site which is not plainly serving
-    /// had before.
+    /// Endpoints on which plans are based: those that are healthy, and those last known at sites that are not
+    /// in the state `Serving`.
     planned_endpoints: Endpoints,
-    /// The list or the settings have changed: when new plans are begun.
+    /// Time at which new plans are begun, after a change of the endpoint list or the settings.
     replan_at: Option<Micros>,
     plan_builder: Option<PlanBuilder>,
     plans: Option<Plans>,
-    /// This instance is new and lacks notes of some peers: it takes no site further than one on its way back might be.
+    /// Whether this instance has just started and lacks the notes of some peers. Until it has them, it limits
+    /// its traffic to the caches of its zone to the initial share, because a peer may report a recovering site.
     learning: bool,
     next_check: LossCheck,
-    /// From which week on the loss of a zone could not be borne, as last logged.
-    unbearable_from_week: FxHashMap<Zone, usize>,
-    /// How many peers have other plans in force, as last logged.
+    /// First week in which the loss of a zone would exceed the capacity, by zone, as last logged.
+    unsurvivable_from_week: FxHashMap<Zone, usize>,
+    /// Number of peers with other plans in force, as last logged.
     differing_plans: usize,
     transition_counts: TransitionCounts,
 }
 
-/// How long the endpoints of a zone take to warm up.
+/// Returns how long the endpoints of a zone take to warm up, in microseconds.
 fn warm_up(settings: &Document) -> Micros {
     settings.rules.warm_within_us.max(settings.domain.parent_ramp_us)
 }
 
 impl SiteFailover {
-    /// Judges sites from now on.
+    /// Creates the failure detector and starts without plans.
     pub fn new(settings: Settings, document: &Document, seed: u64, now: Micros, log: &Logger) -> Self {
         let (zone, zone_count) = (document.zone, document.failure_domains.len());
         let mut failure_detector = FailureDetector::new(settings.clone(), zone, zone_count + 1, seed, now);
@@ -133,23 +137,23 @@
             plans: None,
             learning: true,
             next_check: LossCheck::default(),
-            unbearable_from_week: FxHashMap::default(),
+            unsurvivable_from_week: FxHashMap::default(),
             differing_plans: 0,
             transition_counts: TransitionCounts::default(),
         }
     }
 
-    /// Takes other settings; new plans follow.
+    /// Applies new settings and schedules new plans.
     pub fn reconfigure(&mut self, settings: &Settings, document: &Document, now: Micros) {
-        // The next turn reads the states themselves: the changes need not be handed on.
+        // Transitions need not be passed on, because the next turn reads the states.
         self.failure_detector.reconfigure(settings.clone(), &mut Vec::new());
         (0..self.zone_count).for_each(|zone| self.failure_detector.set_warm_up(zone, warm_up(document)));
         self.settings = settings.clone();
         self.replan_at = Some(now);
     }
 
-    /// The zone whose site an endpoint tells of. Origins belong to no site: none of them is lost with the zone that they
-    /// stand in.
+    /// Returns the site to which an endpoint counts. Origins count to a site of their own, because no origin
+    /// is lost together with the zone in which it runs.
     fn site_of(&self, endpoint: &Endpoint) -> Zone {
         match endpoint.role {
             Role::Origin => self.zone_count,
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Takes the list as it now is. An endpoint that left a site in trouble stays in its plans: the loss is not over.
+    /// Applies a changed endpoint list. An endpoint that left the list while its site is not in the state
+    /// `Serving` stays in the plans, because the loss of the site is not over.
     pub fn endpoints_changed(&mut self, now: Micros, endpoints: &Endpoints) {
         let healthy = |endpoint: &Endpoint| endpoint.state == EndpointState::Healthy;
         let listed = |endpoint: &Endpoint| ListedServer {
@@ -167,31 +172,36 @@
         };
         let listed: Vec<ListedServer> = endpoints.values().map(listed).collect();
         self.failure_detector.update_servers(now, listed);
-        let any_left = self.planned_endpoints.keys().any(|id| endpoints.get(id).is_none_or(|e| !healthy(e)));
-        let delay = if any_left { self.settings.unreachable_after } else { 0 };
+        let any_missing =
+            self.planned_endpoints.keys().any(|id| endpoints.get(id).is_none_or(|e| !healthy(e)));
+        let delay = if any_missing { self.settings.unreachable_after } else { 0 };
         let replan_at = now + delay;
         self.replan_at = Some(self.replan_at.map_or(replan_at, |at| at.min(replan_at)));
     }
 
-    /// Takes how an attempt ended.
+    /// Records the result of an attempt with the failure detector.
     pub fn attempt_ended(&mut self, now: Micros, endpoints: &Endpoints, attempt: &AttemptEnd) {
         let source = attempt.source.filter(|source| *source != attempt.endpoint);
-        for (id, end) in [(Some(attempt.endpoint), attempt.at_endpoint()), (source, attempt.at_source())] {
-            let Some((endpoint, end)) = id.and_then(|id| endpoints.get(id)).zip(end) else { continue };
+        for (id, outcome) in
+            [(Some(attempt.endpoint), attempt.endpoint_outcome()), (source, attempt.source_outcome())]
+        {
+            let Some((endpoint, outcome)) = id.and_then(|id| endpoints.get(id)).zip(outcome) else {
+                continue;
+            };
             let site = self.site_of(endpoint);
-            self.failure_detector.record_attempt(now, xxh3_64(endpoint.id.as_bytes()), site, end);
+            self.failure_detector.record_attempt(now, xxh3_64(endpoint.id.as_bytes()), site, outcome);
         }
     }
 
-    /// Lets the judgement and the plans go on; whether the constraints may have changed.
+    /// Runs one turn of failure detection and planning; returns whether the constraints may have changed.
     pub fn turn(&mut self, context: &FleetContext, endpoints: &Endpoints) -> bool {
-        let judged = self.judge_sites(context);
-        let planned = self.make_plans(context, endpoints);
+        let states_changed = self.evaluate_sites(context);
+        let plans_changed = self.make_plans(context, endpoints);
         self.compare_plans(context);
-        judged || planned
+        states_changed || plans_changed
     }
 
-    fn judge_sites(&mut self, context: &FleetContext) -> bool {
+    fn evaluate_sites(&mut self, context: &FleetContext) -> bool {
         let (now, peers) = (context.now, context.peers);
         let mut transitions = Vec::new();
         for member in &peers.departed {
@@ -207,7 +217,7 @@
             info!(context.log, "site state changed"; "zone" => context.zone_name(zone), "from" => ?from, "to" => ?to,
                   "reason" => %reason);
             self.transition_counts.count(to);
-            // Once a site serves again, the plans are made with the endpoints that it then has.
+            // Once a site serves again, new plans are made with the endpoints that it then has.
             if to == SiteState::Serving {
                 self.replan_at = Some(now);
             }
@@ -216,7 +226,8 @@
         changed
     }
 
-    /// Begins new plans where they are due, and solves one program a turn; whether there are new plans.
+    /// Begins new plans where they are due, and solves one linear program per turn. Returns whether new plans
+    /// are complete.
     fn make_plans(&mut self, context: &FleetContext, endpoints: &Endpoints) -> bool {
         if self.replan_at.is_some_and(|at| at <= context.now) {
             self.replan_at = None;
@@ -244,11 +255,11 @@
             &self.settings,
         )) {
             Ok(builder) => self.plan_builder = Some(builder),
-            Err(error) => warn!(context.log, "failover plans can't be made"; "error" => %error),
+            Err(error) => warn!(context.log, "failover plans not created"; "error" => %error),
         }
     }
 
-    /// Logs how many peers have other plans in force, where that has changed.
+    /// Logs the number of peers that have other plans in force, if the number has changed.
     fn compare_plans(&mut self, context: &FleetContext) {
         let own = self.plan_number();
         let differs =
@@ -261,41 +272,42 @@
         }
     }
 
-    /// How many zones are judged, without the origins' own.
+    /// Returns the number of zones, without the site of the origins.
     pub fn zone_count(&self) -> usize {
         self.zone_count
     }
 
-    /// How many weeks ahead [`SiteFailover::check_loss`] looks next.
+    /// Returns how many weeks ahead the next call of [`SiteFailover::check_loss`] checks.
     pub fn check_week(&self) -> usize {
         self.next_check.week
     }
 
-    /// Checks of one site and one week ahead whether the forecast load would still bear its loss: one program a turn.
-    /// `growth_factors`: each zone's growth by that week; `None` where it is not known.
+    /// Checks for one site and one week ahead whether the remaining sites could carry the forecast load after
+    /// its loss. It solves one linear program per turn. `growth_factors`: growth of each zone by that week,
+    /// or `None` if it is not known.
     pub fn check_loss(&mut self, context: &FleetContext, growth_factors: Option<Vec<f64>>) {
         let Some(growth_factors) = growth_factors.filter(|_| !self.failure_detector.any_affected()) else {
             return;
         };
         let Some(plans) = &self.plans else { return };
         let LossCheck { zone, week } = self.next_check;
-        let bearable = plans.survives_loss(zone, &growth_factors);
+        let survivable = plans.survives_loss(zone, &growth_factors);
         let last_week = week + 1 >= WEEKS as usize;
-        self.next_check = if bearable && !last_week {
+        self.next_check = if survivable && !last_week {
             LossCheck { zone, week: week + 1 }
         } else {
             LossCheck { zone: (zone + 1) % self.zone_count.max(1), week: 0 }
         };
         let name = context.zone_name(zone);
-        if !bearable && self.unbearable_from_week.insert(zone, week) != Some(week) {
+        if !survivable && self.unsurvivable_from_week.insert(zone, week) != Some(week) {
             warn!(context.log, "loss of the site exceeds the forecast capacity"; "zone" => name, "from_week" => week,
                   "remedy" => "add parents or links, or let load leave its branch");
-        } else if bearable && last_week && self.unbearable_from_week.remove(&zone).is_some() {
+        } else if survivable && last_week && self.unsurvivable_from_week.remove(&zone).is_some() {
             info!(context.log, "loss of the site within the forecast capacity again"; "zone" => name, "weeks" => WEEKS);
         }
     }
 
-    /// What the plans ask of this instance's router.
+    /// Returns the constraints that the plans place on this instance's router.
     pub fn constraints(&self, context: &FleetContext) -> Constraints {
         let Some(plans) = &self.plans else { return Constraints::default() };
         let settings = context.settings.for_router();
@@ -305,13 +317,14 @@
             .cache_slow_start
             .initial_share
             .min(settings.parent_slow_start.initial_share)
-            .max(LEAST_INITIAL_SHARE);
+            .max(MIN_INITIAL_SHARE);
         let factor = |zone| {
             traffic_share(self.failure_detector.state(zone), self.settings.recovery_steps, initial_share)
         };
         let factors: Vec<f64> = (0..context.zone_count()).map(factor).collect();
         let expected_return = self.settings.hold_off + warm_up(context.settings);
-        // The two processes of an instance share its part of each bound, so all count double during a takeover.
+        // During a takeover the two processes of an instance share its part of each rate limit, so every
+        // instance counts double.
         plans.constraints(&ConstraintQuery {
             zone: self.zone,
             zone_instances: local_instances.unwrap_or(settings.routers) * context.processes,
@@ -324,32 +337,33 @@
         })
     }
 
-    /// The state of each site, by zone.
+    /// Returns the state of each site, by zone.
     pub fn site_states(&self) -> Vec<SiteState> {
         (0..=self.zone_count).map(|zone| self.failure_detector.state(zone)).collect()
     }
 
-    /// The number of the plans in force; 0: none.
+    /// Returns the number of the plans in force, or 0 without plans.
     pub fn plan_number(&self) -> u32 {
         self.plans.as_ref().map_or(0, Plans::number)
     }
 
-    /// What this instance's report says of the sites.
+    /// Returns the site observations for this instance's note to its peers.
     pub fn site_observations(&self, now: Micros) -> Vec<SiteObservation> {
         self.failure_detector.report(now)
     }
 
-    /// When the judgement is due next.
+    /// Returns when the failure detector is due next.
     pub fn next_due(&self) -> Micros {
         self.failure_detector.next_evaluation()
     }
 
-    /// Whether plans are being made: each turn solves one program.
+    /// Returns whether plans are being made; each turn solves one linear program of them.
     pub fn is_planning(&self) -> bool {
         self.plan_builder.is_some()
     }
 
-    /// Names and values for the admin server; `rate_limits`: how many the constraints in force have.
+    /// Returns names and values for the admin endpoint; `rate_limits` is the number of rate limits in the
+    /// constraints in force.
     pub fn metrics(&self, rate_limits: usize) -> [(&'static str, u64); 6] {
         [
             ("site_doubts_total", self.transition_counts.suspected),
--- a/src/proxy/failover/tests.rs
+++ b/src/proxy/failover/tests.rs
@@ -1,4 +1,4 @@
-//! What a reload changes.
+//! Effects of a configuration reload on site failover.
 
 use super::*;
 
@@ -13,9 +13,10 @@
     serde_json::from_value(settings).unwrap()
 }
 
-/// Guards servers of a site that returns: the recovery takes as long as they now take to warm up.
+/// Guards against a recovery ramp that ignores a reload: the failure detector would let a site return in the
+/// old warm-up time while its servers now take longer, and overload them.
 #[test]
-fn a_reload_that_changes_the_warm_up_time_reaches_the_failure_detector() {
+fn reload_with_a_new_warm_up_time_updates_the_failure_detector() {
     let log = Logger::root(slog::Discard, slog::o!());
     let settings = Settings::default();
     let started_with = |warm_up| SiteFailover::new(settings.clone(), &document(warm_up), 1, 0, &log);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,8 +1,9 @@
-//! The proxy: what happens on sockets becomes events for the router, its actions become bytes.
+//! The proxy: translates socket events into events for the router, and the router's actions into bytes on
+//! sockets.
 //!
-//! [`Proxy`] holds the parts and runs the loop: everything is done within one turn of one loop on one thread. Each
-//! part has a file of its own; the router ([`crate::Router`]) and the lifecycle ([`crate::lifecycle`]) decide, and
-//! know no sockets.
+//! [`Proxy`] owns all parts and runs the event loop on one thread; each part has its own file. Decisions are
+//! made by the router ([`crate::Router`]) and the lifecycle ([`crate::lifecycle`]), neither of which uses
+//! sockets.
 
 mod admin;
 mod attempts;
@@ -66,30 +67,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The order in which a turn takes what has become ready.
+/// Order in which one turn of the event loop handles the ready sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum InputOrder {
-    /// What operators are told must not wait for what clients have brought.
+    /// The admin endpoint comes first, so that answers to operators are not delayed by client traffic.
     Operators,
-    /// What is purged binds all that is decided after it.
+    /// The purge log comes before all input whose handling depends on which objects are purged.
     PurgeLog,
-    /// Nothing goes to an endpoint whose drain came in the same turn.
+    /// Discovery comes before requests, so that none is sent to an endpoint whose drain arrived in the same
+    /// turn.
     Discovery,
-    /// Clients that leave come before the upstreams, whose responses would lead to further attempts.
+    /// Closed client connections come before the upstreams, so that a response starts no further attempt for
+    /// them.
     DepartingClient,
-    /// Upstreams, new connections and the rest.
+    /// Upstream connections, the client listener and all other sockets.
     Upstream,
-    /// Clients that ask come last: nothing goes on a connection whose end came in the same turn.
+    /// Client requests come last, so that none is sent on an upstream connection that closed in the same
+    /// turn.
     Client,
 }
 
-/// One instance on its sockets.
+/// One instance of the router process with all its sockets and state.
 pub struct Proxy {
     log: Logger,
     clock: Clock,
-    /// What Unix timestamps of others mean.
+    /// Converts Unix timestamps of other processes to the local clock.
     timestamps: Timestamps,
-    /// The moment of the current turn.
+    /// Time at which the current turn of the event loop started handling input.
     now: Micros,
     name: String,
     configuration: Configuration,
@@ -99,15 +103,15 @@
     lifecycle: Lifecycle,
     event_loop: EventLoop,
     timers: Timers<TimerEvent>,
-    /// What is ready; kept for its memory.
+    /// Sockets that are ready; the vector is reused across turns.
     ready: Vec<Ready>,
-    /// Sockets with more to read than one turn took.
+    /// Sockets that had more to read or accept than one turn handles.
     unfinished_reads: Vec<Token>,
     router: Router,
-    /// What the router has not been told yet.
+    /// Events that the router has not handled yet.
     events: VecDeque<Event>,
     event_observer: Option<EventObserver>,
-    /// What the router wants; kept for its memory.
+    /// Actions returned by the router; the vector is reused across events.
     actions: Vec<Action>,
     listener: ClientListener,
     clients: Clients,
@@ -117,7 +121,7 @@
     purges: RecentPurges,
     local_cache: LocalCache,
     metrics: Metrics,
-    /// What operators read.
+    /// Counters that the admin endpoint serves.
     admin_metrics: AdminMetrics,
     admin: Option<AdminServer>,
     gossip: Option<Box<gossip::PeerGossip>>,
@@ -126,28 +130,30 @@
 }
 
 impl Proxy {
-    /// Where it listens: as configured, with the port that the system chose where that was 0.
+    /// Returns the address of the client listener: the configured one, with the port that the system chose
+    /// where port 0 was configured.
     ///
     /// # Errors
-    /// The system does not tell the address.
+    /// The system does not return the socket's address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.socket.local_addr()
     }
 
-    /// Runs until told to end and everything taken is answered.
+    /// Runs until a shutdown is requested and every accepted request is answered.
     ///
     /// # Errors
     /// The poll failed.
     pub fn run(mut self) -> io::Result<()> {
         self.run_to_completion()?;
         self.report();
-        info!(self.log, "leaving"; "unanswered" => self.requests.unfinished().count());
+        info!(self.log, "shutdown complete"; "unanswered" => self.requests.unfinished().count());
         Ok(())
     }
 
-    /// One turn: waits for something to happen and handles it, then the timers that were due when the wait began. A
-    /// later one waits for the next turn: whatever had come by its time has been read then, also where the process was
-    /// stopped for a while. What was not heard while nobody listened is no silence.
+    /// Runs one turn of the event loop: waits for readiness, handles the input, then the timers that were due
+    /// when the wait began. Timers that became due during the wait are left for the next turn, so that all
+    /// input that arrived by their time is read first, even after the process was stopped for a while.
+    /// Otherwise messages that wait unread would be taken for silence of the peer.
     fn turn(&mut self) -> io::Result<()> {
         let started = self.clock.now();
         let previous_turn = started.saturating_sub(self.now);
@@ -164,8 +170,8 @@
         Ok(())
     }
 
-    /// Handles what has become ready, and what the last turn left unread. What the purge log vouches for is judged once
-    /// its own input is read, before anything is decided by it.
+    /// Handles the ready sockets and those with unfinished reads. Whether the purge log is complete is judged
+    /// after its own input is read and before any input whose handling depends on it.
     fn handle_input(&mut self, ready: &mut Vec<Ready>) {
         let unfinished = std::mem::take(&mut self.unfinished_reads).into_iter();
         ready.extend(unfinished.map(|token| Ready { token, readable: false, writable: false, ended: false }));
@@ -184,7 +190,7 @@
         }
     }
 
-    /// Handles the timers that were due at a moment.
+    /// Handles all timers that were due at `moment`.
     fn handle_due_timers(&mut self, moment: Micros) {
         while let Some((due_at, timer)) = self.timers.due(moment) {
             self.metrics.max_timer_delay = self.metrics.max_timer_delay.max(self.now - due_at);
@@ -267,7 +273,7 @@
         }
     }
 
-    /// Hands the events to the router and carries out what it wants, until neither is left.
+    /// Passes the queued events to the router and performs its actions, until no event is left.
     fn settle(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let event = self.requests.refresh(event);
@@ -277,13 +283,13 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute_action(action);
             }
             self.actions = actions;
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Send { request, server, until, fetch } => {
                 self.start_attempt(request, server, until, fetch);
@@ -294,13 +300,13 @@
                 }
             }
             Action::Reject { request, retry_after } => {
-                // Rounded up: the client is to stay away for no less than it is told to.
+                // Rounded up, so that the client does not retry before the router's delay has passed.
                 let retry_after_ms = retry_after.div_ceil(MILLISECOND);
                 self.respond(&request, Response::Rejected { retry_after_ms });
             }
             Action::Fail { request } => self.respond(&request, Response::Failed),
             Action::Timer { at, token } => self.timers.set(at, TimerEvent::Router(token)),
-            // The command channel reports all changes by itself.
+            // The command channel reports all changes without a subscription.
             Action::Watch => {}
         }
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -187,7 +187,7 @@
     assert_eq!(program.child.wait().unwrap().code(), Some(0));
     let mut rest = String::new();
     program.log.read_to_string(&mut rest).unwrap();
-    assert!(rest.contains("draining") && rest.contains("leaving"), "{rest}");
+    assert!(rest.contains("draining") && rest.contains("shutdown complete"), "{rest}");
 }
 
 /// A command channel's end of an instance's connection, and the number that the instance wrote on it.
