--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -1,8 +1,9 @@
-//! Attempts: started as the router asks, written to an upstream connection, cancelled, finished and reported.
+//! Attempts: started at the router's request, written to an upstream connection, cancelled, finished and
+//! reported.
 //!
-//! The state is the request's own ([`super::requests`]); the connections are the pool's.
+//! The state of an attempt is kept with its request ([`super::requests`]); the pool owns the connections.
 
-use super::failover::AttemptEnd;
+use super::failover::EndedAttempt;
 use super::requests::{Attempt, AttemptResult};
 use super::timers::TimerEvent;
 use super::Proxy;
@@ -14,18 +15,18 @@
 use slog::debug;
 
 impl Proxy {
-    /// Starts an attempt of a request; `until` 0 means as long as its client waits.
+    /// Starts an attempt of a request; `until` 0 stands for the request's deadline.
     pub(super) fn start_attempt(&mut self, id: Id, endpoint: Id, until: Micros, fetch: Option<Fetch>) {
         let number = self.requests.get(&id).map_or(0, |active| active.attempts_started);
-        if number > 0 && self.take_unread_cancel(&id) {
+        if number > 0 && self.process_unread_cancel(&id) {
             return self.report_outcome(&id, number, self.now, AttemptStatus::NeverSent.into());
         }
         let Some(active) = self.requests.get_mut(&id) else { return };
         active.attempts_started += 1;
         let deadline = if until == 0 { active.deadline } else { until.min(active.deadline) };
-        invariant!(active.attempt.is_none(), "one attempt of a request is out at a time");
-        let is_moot = active.is_finished || active.attempt.is_some() || self.now >= deadline;
-        if is_moot || number >= active.max_attempts.min(self.settings.limits.max_attempts) {
+        invariant!(active.attempt.is_none(), "a request has at most one attempt at a time");
+        let is_obsolete = active.is_finished || active.attempt.is_some() || self.now >= deadline;
+        if is_obsolete || number >= active.max_attempts.min(self.settings.limits.max_attempts) {
             return self.report_outcome(&id, number, self.now, AttemptStatus::NeverSent.into());
         }
         self.metrics.attempts += 1;
@@ -40,11 +41,11 @@
             return self.report_outcome(&id, number, self.now, AttemptStatus::ConnectFailed.into());
         };
         let attempt = Attempt::new(number, endpoint, fetch, self.now, deadline, connection);
-        self.place_attempt(id, attempt, matches!(choice, Choice::Use(_)));
+        self.write_or_queue_attempt(id, attempt, matches!(choice, Choice::Use(_)));
     }
 
-    /// Chooses a connection for the next attempt of a request. Idle connections to some endpoints must not keep others
-    /// from being reached: in a full pool one of them goes.
+    /// Chooses a connection for the next attempt of a request. In a full pool the connection that has been
+    /// idle for longest is closed, so that idle connections to some endpoints do not block dials to others.
     fn choose_connection(&mut self, id: &Id, endpoint: &Id) -> Choice {
         let used = self.requests.get(id).map_or(&[][..], |active| &active.used_connections);
         let choice = self.pool.choose(endpoint, self.now, used);
@@ -57,8 +58,8 @@
         self.pool.choose(endpoint, self.now, used)
     }
 
-    /// Writes an attempt where its connection is open, or lets it wait for the dial.
-    fn place_attempt(&mut self, id: Id, attempt: Attempt, is_open: bool) {
+    /// Writes an attempt if its connection is open, or queues it until the dial completes.
+    fn write_or_queue_attempt(&mut self, id: Id, attempt: Attempt, is_open: bool) {
         let (connection, endpoint) = (attempt.connection, attempt.endpoint.clone());
         let Some(active) = self.requests.get_mut(&id) else { return };
         active.attempt = Some(attempt);
@@ -73,10 +74,11 @@
         }
     }
 
-    /// Takes a cancellation that waits unread: on a connection on which reading has stopped, since responses wait
-    /// there, or where the process was stopped and has not come to it. Whether there was one. Nothing is sent for a
-    /// request that its client has cancelled.
-    fn take_unread_cancel(&mut self, id: &Id) -> bool {
+    /// Checks for a cancellation that has not been read yet, ends the request if there is one, and returns
+    /// whether there was. A cancellation stays unread on a connection on which reading is paused because
+    /// responses are backed up, or when the process was stopped and has not reached it. No attempt may start
+    /// after its client has cancelled the request.
+    fn process_unread_cancel(&mut self, id: &Id) -> bool {
         let Some(active) = self.requests.unfinished_mut(id) else { return false };
         let (token, stream) = (active.client, active.stream);
         let Some(client) = self.clients.get_mut(&token) else { return false };
@@ -89,10 +91,11 @@
         is_cancelled
     }
 
-    /// Whether an attempt that had to wait may still be written as it was decided. Drains, purges and the window for
-    /// repeats bind at the moment of writing, and each may have changed meanwhile.
+    /// Returns whether an attempt that had to wait may still be written. Drains, purges and the deduplication
+    /// window apply at the time of writing, and each may have changed since the attempt was decided.
     fn is_still_valid(&self, id: &Id) -> bool {
-        let Some((active, attempt)) = self.requests.get(id).and_then(|r| Some((r, r.attempt.as_ref()?)))
+        let Some((active, attempt)) =
+            self.requests.get(id).and_then(|active| Some((active, active.attempt.as_ref()?)))
         else {
             return false;
         };
@@ -103,28 +106,28 @@
         serves(&attempt.endpoint) && can_fetch && !is_purged && self.now < active.retry_deadline
     }
 
-    /// Writes the attempt that is out to its connection, which is open.
+    /// Writes the current attempt of a request to its connection, which is open.
     pub(super) fn write_attempt(&mut self, id: &Id) {
-        let has_waited = |attempt: &Attempt| self.now > attempt.started_at;
-        if self.requests.attempt(id).is_some_and(has_waited) && self.take_unread_cancel(id) {
+        let was_delayed = |attempt: &Attempt| self.now > attempt.started_at;
+        if self.requests.attempt(id).is_some_and(was_delayed) && self.process_unread_cancel(id) {
             return;
         }
         let Some(attempt) = self.requests.attempt(id) else { return };
         let (token, number) = (attempt.connection, attempt.number);
-        // The endpoint list may be ahead of what the router has been told of it.
+        // The endpoint list may hold changes that the router has not been told of yet.
         let may_have_changed = self.now > attempt.started_at || self.discovery.membership.has_changes();
-        // The request may have finished while the attempt waited: none is written for nobody.
+        // The request may have finished while the attempt waited; no attempt is sent for a finished request.
         if self.requests.is_finished(id) || may_have_changed && !self.is_still_valid(id) {
             self.metrics.dropped_attempts += 1;
             return self.finish_attempt(id, AttemptStatus::NeverSent.into());
         }
         let Some(bytes) = self.encode_attempt(id) else { return };
         let Some(upstream) = self.pool.get_mut(token) else {
-            // Of several that waited for one dial the first to be written may have found the connection broken again.
-            // The others must not wait for all of their time.
+            // When several attempts waited for one dial, writing the first may have closed the connection.
+            // The others end now instead of waiting until their deadlines.
             return self.finish_attempt(id, AttemptStatus::ConnectFailed.into());
         };
-        // New settings may allow fewer than wait for one dial.
+        // New settings may allow fewer requests on a connection than wait for one dial.
         if upstream.in_flight.len() >= self.settings.limits.multiplex {
             return self.finish_attempt(id, AttemptStatus::NeverSent.into());
         }
@@ -149,7 +152,7 @@
         Some(resp::encode_request(&active.request, &attempt.endpoint, attempt.fetch.as_ref(), time_left))
     }
 
-    /// Counts the attempts whose last byte is among the bytes written on their connection, once each.
+    /// Counts, once each, the attempts whose last byte is among the bytes written on their connection.
     pub(super) fn count_written(&mut self, ids: impl IntoIterator<Item = Id>, written: u64) {
         for id in ids {
             let attempt = self.requests.attempt_mut(&id);
@@ -158,8 +161,9 @@
         }
     }
 
-    /// Cancels an attempt whose result nobody awaits, unless it has been written whole: no attempt begins at an
-    /// endpoint after its client has gone. What the endpoint has whole is the router's to cancel or to leave.
+    /// Cancels the attempt of a finished request unless it has been written completely, because no attempt
+    /// may start at an endpoint after its client has disconnected. Whether an attempt that was written
+    /// completely is cancelled is the router's decision.
     pub(super) fn cancel_unwritten_attempt(&mut self, id: &Id) {
         let Some(attempt) = self.requests.attempt(id) else { return };
         let (connection, end_offset) = (attempt.connection, attempt.end_offset);
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Cancels the attempt that is out. The endpoint is told before anything else can be sent for the request.
+    /// Cancels the current attempt of a request. The endpoint is told before anything else can be sent for
+    /// the request.
     pub(super) fn cancel_attempt(&mut self, id: &Id, status: AttemptStatus) {
         let Some(active) = self.requests.get_mut(id) else { return };
         let Some(attempt) = active.attempt.as_ref() else { return };
@@ -185,7 +190,7 @@
                 None => true,
             };
         }
-        // What the endpoint never had whole can't have run out of time there.
+        // An endpoint that never received the whole command can't have timed out.
         let status = match status {
             AttemptStatus::TimedOut if is_unwritten => AttemptStatus::ConnectFailed,
             other => other,
@@ -193,10 +198,11 @@
         self.finish_attempt(id, status.into());
     }
 
-    /// Tells the endpoint that an attempt is over. Whether its command had not been written whole.
+    /// Tells the endpoint that an attempt is cancelled. Returns whether its command had not been written
+    /// completely.
     ///
-    /// The next attempt may go over another connection, so this word must be out before it: where it can't be
-    /// written, the end of the connection says the same.
+    /// The next attempt may use another connection, so the cancellation must be sent before it. If it can't
+    /// be written, the connection is closed, which cancels the attempt too.
     fn cancel_upstream(&mut self, id: &Id, connection: Token, end_offset: u64) -> bool {
         let Some(upstream) = self.pool.get_mut(connection) else { return false };
         upstream.in_flight.remove(id);
@@ -206,9 +212,9 @@
         if upstream.in_flight.is_empty() {
             upstream.awaiting_since = None;
         }
-        let is_stuck = upstream.conn.backlog() > 0 || !upstream.conn.is_open();
+        let is_unsendable = upstream.conn.backlog() > 0 || !upstream.conn.is_open();
         let is_unwritten = upstream.conn.written() < end_offset;
-        if is_stuck {
+        if is_unsendable {
             self.close_upstream(connection);
         }
         is_unwritten
@@ -218,7 +224,7 @@
         self.pool.get_mut(connection).map_or(0, |upstream| upstream.conn.written())
     }
 
-    /// Ends the attempt that is out, and reports how.
+    /// Ends the current attempt of a request and reports its result.
     pub(super) fn finish_attempt(&mut self, id: &Id, result: AttemptResult) {
         let Some(active) = self.requests.get_mut(id) else { return };
         let Some(attempt) = active.attempt.take() else { return };
@@ -233,25 +239,25 @@
         debug!(self.log, "attempt ended"; "request" => %id, "attempt" => attempt.number,
                "endpoint" => %attempt.endpoint, "source" => source.map(ToString::to_string),
                "status" => ?result.status);
-        let end = AttemptEnd {
+        let ended = EndedAttempt {
             endpoint: &attempt.endpoint,
             source,
             status: result.status,
             cache_status: result.cache_status,
         };
-        self.fleet_attempt_ended(id, &end);
+        self.fleet_attempt_ended(id, &ended);
         self.report_outcome(id, attempt.number, attempt.started_at, result);
         if self.requests.get(id).is_some_and(|active| active.is_finished) {
             self.remove_request(id);
         }
     }
 
-    /// Tells the router how an attempt ended.
+    /// Queues the outcome of an attempt for the router.
     fn report_outcome(&mut self, id: &Id, attempt: u32, started_at: Micros, result: AttemptResult) {
         let is_final = self.requests.is_finished(id);
         let elapsed = self.now.saturating_sub(started_at);
         let AttemptResult { status, cache_status, load_report } = result;
-        debug!(self.log, "outcome"; "request" => %id, "attempt" => attempt, "status" => ?status,
+        debug!(self.log, "attempt outcome"; "request" => %id, "attempt" => attempt, "status" => ?status,
                "cache_status" => ?cache_status, "elapsed_us" => elapsed, "final" => is_final);
         self.events.push_back(Event::Outcome(Outcome {
             request: id.clone(),
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -470,7 +470,7 @@
                 if !self.clients.contains(&token) {
                     return;
                 }
-                self.take_request(token, stream, *request);
+                self.admit_request(token, stream, *request);
             }
         }
         if let Some(client) = self.clients.get_mut(&token) {
--- a/src/proxy/failover.rs
+++ b/src/proxy/failover.rs
@@ -29,14 +29,14 @@
 const MIN_INITIAL_SHARE: f64 = 0.01;
 
 /// Result of an attempt, as recorded for the sites of the endpoint and of the source of a fill.
-pub(super) struct AttemptEnd<'a> {
+pub(super) struct EndedAttempt<'a> {
     pub endpoint: &'a Id,
     pub source: Option<&'a Id>,
     pub status: AttemptStatus,
     pub cache_status: CacheStatus,
 }
 
-impl AttemptEnd<'_> {
+impl EndedAttempt<'_> {
     /// Returns what the result shows about the endpoint's site, or `None` if the result shows nothing.
     fn endpoint_outcome(&self) -> Option<AttemptOutcome> {
         match self.status {
@@ -180,7 +180,7 @@
     }
 
     /// Records the result of an attempt with the failure detector.
-    pub fn attempt_ended(&mut self, now: Micros, endpoints: &Endpoints, attempt: &AttemptEnd) {
+    pub fn attempt_ended(&mut self, now: Micros, endpoints: &Endpoints, attempt: &EndedAttempt) {
         let source = attempt.source.filter(|source| *source != attempt.endpoint);
         for (id, outcome) in
             [(Some(attempt.endpoint), attempt.endpoint_outcome()), (source, attempt.source_outcome())]
--- a/src/proxy/fleet.rs
+++ b/src/proxy/fleet.rs
@@ -2,7 +2,7 @@
 //! purge log, and of the turns that they take. It keeps the list of endpoints for them, puts what they ask of the router
 //! into one set of constraints, and writes this instance's note for its peers.
 
-use super::failover::{AttemptEnd, SiteFailover};
+use super::failover::{EndedAttempt, SiteFailover};
 use super::fleet_context::{Endpoints, FleetContext, PeerView, SiteView};
 use super::purge_log::PurgeLogFollower;
 use super::rebalancing::{ServedRequest, ShardRebalancer};
@@ -233,7 +233,7 @@
     }
 
     /// An attempt of a request has ended: it tells of sites, and what was served of a shard is counted.
-    pub(super) fn fleet_attempt_ended(&mut self, request: &Id, attempt: &AttemptEnd) {
+    pub(super) fn fleet_attempt_ended(&mut self, request: &Id, attempt: &EndedAttempt) {
         let Some(fleet) = self.fleet.as_deref_mut() else { return };
         let open = self.requests.get(request).filter(|_| attempt.status == AttemptStatus::Served);
         if let (Some(rebalancer), Some(open)) = (&mut fleet.rebalancer, open) {
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -1,8 +1,9 @@
-//! Requests from the moment in which they are taken until they and their last attempt are over.
+//! Active requests, from the time at which they are read until they are answered and their last attempt has
+//! ended.
 //!
-//! The clients' side adds them and writes their responses, the upstreams' side gives them attempts. A request has at
-//! most one attempt at a time. It outlives its response while an attempt goes on, so that the router hears how that
-//! one ended.
+//! [`super::clients`] adds requests and writes their responses; [`super::attempts`] starts and ends their
+//! attempts. A request has at most one attempt at a time. It stays active after its response while an attempt
+//! is still running, so that the router is told the result of that attempt.
 
 use super::clients::can_transfer_in_time;
 use super::timers::{TimerEvent, MILLISECOND};
@@ -18,35 +19,40 @@
 use rustc_hash::FxHashMap;
 use slog::debug;
 
-/// Kept back of the time that a client waits, so that a response at the last moment reaches it: timers come up to
-/// 1 ms late. It is small since the least that a client waits is 40 ms.
+/// Part of a client's timeout that the router does not get, in microseconds, so that a response in the last
+/// moment reaches the client: timers fire up to 1 ms late. The margin is small because the shortest client
+/// timeout is 40 ms.
 pub(super) const RESPONSE_MARGIN: Micros = 4 * MILLISECOND;
-/// Kept back of it by the last timer, which answers whatever the router did.
+/// Part of a client's timeout that remains after the final timer, in microseconds; that timer answers a
+/// request which the router has left unanswered.
 const LAST_RESPONSE_MARGIN: Micros = MILLISECOND;
 
-/// A request that is not over, or whose last attempt is not.
+/// A request that has not been answered, or whose last attempt has not ended.
 pub(super) struct ActiveRequest {
     pub(super) request: ClientRequest,
-    /// The client's connection and the stream on it that awaits the response.
+    /// Token of the client's connection.
     pub(super) client: Token,
     pub(super) stream: u32,
-    /// No attempt goes on beyond this.
+    /// Time at which any attempt of the request ends.
     pub(super) deadline: Micros,
-    /// It has its one final response, or nobody waits for one.
+    /// Whether the request has its final response, or no client waits for one.
     pub(super) is_finished: bool,
     pub(super) attempts_started: u32,
     pub(super) max_attempts: u32,
     pub(super) attempt: Option<Attempt>,
-    /// The number of its class.
+    /// Number of the request's class.
     pub(super) class: usize,
-    /// Where its class is counted for operators.
+    /// Index of the class in the counters of the admin endpoint.
     pub(super) metrics_class: usize,
-    /// For how long after an attempt that may have run its endpoints recognise a repeat.
+    /// Time in which endpoints recognise a repeated request, from the start of an attempt that may have been
+    /// executed.
     pub(super) deduplication_window: Option<Micros>,
-    /// The moment that follows from the window: no attempt is written from then on.
+    /// Time from which no attempt is written any more, because endpoints would no longer recognise it as a
+    /// repeat.
     pub(super) retry_deadline: Micros,
-    /// Upstream connections on which it had an attempt. A late response to that one would be taken for the next
-    /// one's there: the wire names the request only.
+    /// Upstream connections that an earlier attempt used. A late response on one of them would be taken for
+    /// the response to a newer attempt on the same connection, because responses name the request but not the
+    /// attempt.
     pub(super) used_connections: Vec<Token>,
 }
 
@@ -77,16 +83,17 @@
     }
 }
 
-/// The attempt of a request that is out.
+/// The current attempt of a request.
 pub(super) struct Attempt {
     pub(super) number: u32,
     pub(super) endpoint: Id,
     pub(super) fetch: Option<Fetch>,
     pub(super) started_at: Micros,
     pub(super) deadline: Micros,
-    /// The upstream connection that it is written to, or whose dial it waits for.
+    /// Upstream connection on which the attempt is written, or whose dial it waits for.
     pub(super) connection: Token,
-    /// Where its command ends among all bytes queued on the connection; `None` while it waits for a dial.
+    /// Offset of the end of the attempt's command in all bytes queued on the connection; `None` while the
+    /// attempt waits for a dial.
     pub(super) end_offset: Option<u64>,
     is_written: bool,
 }
@@ -112,8 +119,8 @@
         }
     }
 
-    /// Notes that so many bytes are written on its connection. Whether the attempt's last byte is among them for the
-    /// first time.
+    /// Records how many bytes have been written on the attempt's connection. Returns whether the attempt has
+    /// now been written completely for the first time.
     pub(super) fn note_written(&mut self, bytes_written: u64) -> bool {
         let is_complete = self.end_offset.is_some_and(|end| bytes_written >= end);
         let is_first = is_complete && !self.is_written;
@@ -122,25 +129,25 @@
     }
 }
 
-/// How an attempt ended, as the router is told.
+/// Result of an attempt, as it is reported to the router.
 pub(super) struct AttemptResult {
     pub(super) status: AttemptStatus,
     pub(super) cache_status: CacheStatus,
     pub(super) load_report: Option<LoadReport>,
 }
 
-/// The result of an attempt that brought no response.
+/// Result of an attempt that received no response.
 impl From<AttemptStatus> for AttemptResult {
     fn from(status: AttemptStatus) -> Self {
         AttemptResult { status, cache_status: CacheStatus::Unknown, load_report: None }
     }
 }
 
-/// All active requests by their id.
+/// All active requests, by id.
 #[derive(Default)]
 pub(super) struct ActiveRequests {
     pub(super) by_id: FxHashMap<Id, ActiveRequest>,
-    /// Bytes of all bodies together.
+    /// Total size of all request bodies, in bytes.
     pub(super) body_bytes: usize,
 }
 
@@ -164,7 +171,7 @@
         self.by_id.get_mut(id)
     }
 
-    /// The request if it still awaits its response.
+    /// Returns the request if it still awaits its response.
     pub(super) fn unfinished_mut(&mut self, id: &Id) -> Option<&mut ActiveRequest> {
         self.by_id.get_mut(id).filter(|active| !active.is_finished)
     }
@@ -177,12 +184,12 @@
         self.by_id.get_mut(id)?.attempt.as_mut()
     }
 
-    /// Whether the attempt of this number is the one that is out.
+    /// Returns whether the current attempt of the request has this number.
     pub(super) fn has_attempt(&self, id: &Id, number: u32) -> bool {
         self.attempt(id).is_some_and(|attempt| attempt.number == number)
     }
 
-    /// Whether it is over for its client: unknown, answered, or nobody waits for it.
+    /// Returns whether the request is unknown, has been answered, or no client waits for it.
     pub(super) fn is_finished(&self, id: &Id) -> bool {
         self.by_id.get(id).is_none_or(|active| active.is_finished)
     }
@@ -195,20 +202,21 @@
         self.by_id.len()
     }
 
-    /// Requests that await their response.
+    /// Returns the ids of all requests that await their response.
     pub(super) fn unfinished(&self) -> impl Iterator<Item = &Id> {
         self.by_id.iter().filter(|(_, active)| !active.is_finished).map(|(id, _)| id)
     }
 
-    /// Bytes of all bodies together.
+    /// Returns the total size of all request bodies, in bytes.
     pub(super) fn body_bytes(&self) -> usize {
         self.body_bytes
     }
 
-    /// Brings an event that waited in the router's queue up to date.
+    /// Updates an event that was queued for the router.
     ///
-    /// The request of an outcome may have finished since, as where writing its response showed that its client is
-    /// gone. Told that it goes on, the router would send it anew and hear of no end.
+    /// The request of an outcome may have finished while the event was queued, for example when writing the
+    /// response showed that its client has disconnected. Without the update the router would retry the
+    /// request and would never be told that it has ended.
     pub(super) fn refresh(&self, mut event: Event) -> Event {
         if let Event::Outcome(Outcome { request, is_final, .. }) = &mut event {
             *is_final |= self.is_finished(request);
@@ -217,49 +225,52 @@
     }
 }
 
-/// What the settings say of a request that is admitted.
+/// Class settings of an admitted request.
 struct Admission {
     class: usize,
     metrics_class: usize,
     deduplication_window: Option<Micros>,
 }
 
-/// A request as the router is handed it.
-fn router_event(id: &Id, request: &ClientRequest, class: usize, budget: Micros) -> Event {
+/// Returns the router's event for a request; `timeout` is the time that the router has for it.
+fn request_event(id: &Id, request: &ClientRequest, class: usize, router_timeout: Micros) -> Event {
     Event::Request(Request {
         id: id.clone(),
         class,
         object: request.object.1,
         chunk: request.chunk,
         purge_group: request.purge_group,
-        timeout: budget,
+        timeout: router_timeout,
         size_kb: request.size_kb,
     })
 }
 
 impl Proxy {
-    /// Takes a request that was read from a client.
-    pub(super) fn take_request(&mut self, client: Token, stream: u32, request: ClientRequest) {
-        let named = self.classes.find(self.now, &request.route);
-        invariant!(named != ClassLookup::Unknown, "a request was screened before it is taken");
+    /// Admits a request that was read from a client, or rejects it.
+    pub(super) fn admit_request(&mut self, client: Token, stream: u32, request: ClientRequest) {
+        let class_lookup = self.classes.find(self.now, &request.route);
+        invariant!(
+            class_lookup != ClassLookup::Unknown,
+            "a request's route is validated before the request is admitted"
+        );
         let metrics_class = self.admin_metrics.class(&request.route);
         self.admin_metrics.took();
         let needs_key = |class: &Class| class.idempotency == Idempotency::WithKey;
         let lacks_key = |class: &Class| needs_key(class) && request.idempotency_key.is_none();
-        let is_too_large = matches!(named, ClassLookup::Found { deadline, .. }
+        let is_too_large = matches!(class_lookup, ClassLookup::Found { deadline, .. }
             if !can_transfer_in_time(request.size_kb, deadline, &self.settings));
-        let admissible = named.class().filter(|named| !is_too_large && !lacks_key(named.1));
+        let admissible = class_lookup.class().filter(|found| !is_too_large && !lacks_key(found.1));
         let Some((class, settings)) = admissible else {
-            // Its class was dropped or wants a key by now, or no transfer could bring it in time: a retry, whenever,
-            // would fare no better, and its size would spoil the estimates of load.
+            // The class was removed or requires a key by now, or no transfer of this size ends in time. A
+            // retry would fail in the same way, and the size would distort the load estimates.
             self.write_unadmitted(client, stream, &Response::Rejected { retry_after_ms: 0 });
             return self.admin_metrics.ended(metrics_class, End::Overload);
         };
         let deduplication_window = needs_key(settings).then_some(settings.deduplication_window);
         let id: Id = request.request_id.as_str().into();
         if self.requests.contains(&id) {
-            // Attempts and responses go by the id, which belongs to the first one. This may be the same request come
-            // twice, so nothing is said of whether it ran.
+            // Attempts and responses are matched by the request id, which belongs to the first request. This
+            // may be the same request sent twice, so the response does not say whether it was executed.
             self.write_unadmitted(client, stream, &Response::Failed);
             return self.admin_metrics.ended(metrics_class, End::Error);
         }
@@ -270,7 +281,7 @@
         self.begin_request(id, client, stream, request, admission);
     }
 
-    /// Adds an admitted request, and answers it at once or hands it to the router.
+    /// Adds an admitted request, and answers it at once or passes it to the router.
     fn begin_request(
         &mut self,
         id: Id,
@@ -279,12 +290,12 @@
         request: ClientRequest,
         admission: Admission,
     ) {
-        let timeout = request.timeout_ms.saturating_mul(MILLISECOND);
-        let budget = timeout - RESPONSE_MARGIN.min(timeout / 4);
-        let event = router_event(&id, &request, admission.class, budget);
+        let client_timeout = request.timeout_ms.saturating_mul(MILLISECOND);
+        let router_timeout = client_timeout - RESPONSE_MARGIN.min(client_timeout / 4);
+        let event = request_event(&id, &request, admission.class, router_timeout);
         let has_capacity = self.has_capacity_for(&request);
         self.classes.request_opened(admission.class);
-        let (deadline, max_attempts) = (self.now + budget, self.settings.limits.max_attempts);
+        let (deadline, max_attempts) = (self.now + router_timeout, self.settings.limits.max_attempts);
         let active = ActiveRequest::new(request, client, stream, admission, deadline, max_attempts);
         self.requests.insert(id.clone(), active);
         if let Some(client) = self.clients.get_mut(&client) {
@@ -297,8 +308,8 @@
         if let Some(response) = self.serve_from_cache(&id) {
             return self.respond(&id, response);
         }
-        let last_moment = self.now + timeout - LAST_RESPONSE_MARGIN.min(timeout / 8);
-        self.timers.set(last_moment, TimerEvent::RequestDeadline(id));
+        let response_deadline = self.now + client_timeout - LAST_RESPONSE_MARGIN.min(client_timeout / 8);
+        self.timers.set(response_deadline, TimerEvent::RequestDeadline(id));
         self.events.push_back(event);
     }
 
@@ -309,14 +320,14 @@
             && body_bytes <= self.bounds.request_bodies
     }
 
-    /// Answers a request that becomes no active one.
+    /// Writes the response to a request that is not admitted.
     pub(super) fn write_unadmitted(&mut self, client: Token, stream: u32, response: &Response) {
         if let Some(client) = self.clients.get_mut(&client) {
             client.conn.queue(frames::encode_response(stream, response));
         }
     }
 
-    /// Counts a request that is rejected before it is looked at.
+    /// Counts a request that is rejected without being examined.
     pub(super) fn count_rejected(&mut self, route: &str) {
         let metrics_class = self.admin_metrics.class(route);
         self.admin_metrics.took();
@@ -324,11 +335,11 @@
         self.metrics.requests += 1;
     }
 
-    /// Gives a request its one final response.
+    /// Sends the final response to a request; does nothing if the request has finished.
     pub(super) fn respond(&mut self, id: &Id, response: Response) {
         let Some(active) = self.requests.unfinished_mut(id) else { return };
         active.is_finished = true;
-        let (token, stream, is_over) = (active.client, active.stream, active.attempt.is_none());
+        let (token, stream, is_ended) = (active.client, active.stream, active.attempt.is_none());
         debug!(self.log, "response"; "request" => %id, "status" => response.name());
         let end = match response {
             Response::Ok(_) | Response::NotModified => End::Success,
@@ -336,19 +347,20 @@
             Response::Failed => End::Error,
         };
         self.admin_metrics.ended(active.metrics_class, end);
-        if is_over {
+        if is_ended {
             self.remove_request(id);
         }
         let Some(client) = self.clients.get_mut(&token) else { return };
         let awaited = client.note_response(stream);
-        invariant!(awaited.as_ref() == Some(id), "an answer belongs to an open stream");
+        invariant!(awaited.as_ref() == Some(id), "a response belongs to an open stream");
         client.conn.queue(frames::encode_response(stream, &response));
         client.conn.flush(self.now);
         client.last_used = self.now;
         self.after_client_write(token);
     }
 
-    /// Nobody waits for a request any more: no response is owed, and the router is told.
+    /// Ends a request that its client has cancelled or abandoned: no response is sent, and the router is
+    /// told.
     pub(super) fn abandon_request(&mut self, id: Id) {
         let Some(active) = self.requests.unfinished_mut(&id) else { return };
         active.is_finished = true;
@@ -361,23 +373,25 @@
         self.events.push_back(Event::ClientDisconnected { request: id });
     }
 
-    /// Fails a request that has no time left. Every request is answered in time, whatever the router did.
+    /// Fails a request whose client timeout is nearly over, so that every request is answered in time even if
+    /// the router has not answered it.
     pub(super) fn fail_overdue_request(&mut self, id: &Id) {
         let is_unanswered = !self.requests.is_finished(id);
-        invariant!(!is_unanswered, "the router answers before the client's time ends");
+        invariant!(!is_unanswered, "the router answers before the client's timeout");
         if is_unanswered {
             self.fail_request(id);
         }
     }
 
-    /// Fails a request from here: its attempt is cancelled if it can be, and the router is told.
+    /// Fails a request without the router's decision, cancels its attempt unless it has been written
+    /// completely, and tells the router.
     pub(super) fn fail_request(&mut self, id: &Id) {
         self.respond(id, Response::Failed);
         self.cancel_unwritten_attempt(id);
         self.events.push_back(Event::ClientDisconnected { request: id.clone() });
     }
 
-    /// Forgets a request that is over.
+    /// Removes a request that is answered and has no attempt.
     pub(super) fn remove_request(&mut self, id: &Id) {
         if let Some(removed) = self.requests.remove(id) {
             self.classes.request_closed(removed.class);
