--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -138,7 +138,7 @@
         let is_open = upstream.conn.is_open();
         if let Some(attempt) = self.requests.attempt_mut(id) {
             attempt.end_offset = Some(end_offset);
-            self.admin_metrics.dispatches += u64::from(attempt.note_written(written));
+            self.admin_metrics.dispatches += u64::from(attempt.record_written(written));
         }
         if !is_open {
             self.close_upstream(token);
@@ -156,7 +156,7 @@
     pub(super) fn count_written(&mut self, ids: impl IntoIterator<Item = Id>, written: u64) {
         for id in ids {
             let attempt = self.requests.attempt_mut(&id);
-            let is_complete = attempt.is_some_and(|attempt| attempt.note_written(written));
+            let is_complete = attempt.is_some_and(|attempt| attempt.record_written(written));
             self.admin_metrics.dispatches += u64::from(is_complete);
         }
     }
--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -1,4 +1,5 @@
-//! Which client connections there are: accepted from the listener, and evicted where places or descriptors run out.
+//! Admission of client connections: accepting them from the listener, and evicting connections when the
+//! connection limit or the descriptors are used up.
 
 use super::clients::Client;
 use super::timers::{TimerEvent, MILLISECOND};
@@ -10,20 +11,20 @@
 use slog::warn;
 use std::io;
 
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// How often each connection may be looked at to make room for one.
+/// Maximum number of times that each connection is considered for eviction to make room for a new one.
 const MAX_EVICTION_ROUNDS: usize = 3;
-/// Pause after an accept that failed.
+/// Delay before accepting again after a failed accept, in microseconds.
 const ACCEPT_RETRY_PAUSE: Micros = 20 * MILLISECOND;
 
-/// The socket on which clients connect.
+/// Listening socket for clients.
 pub(super) struct ClientListener {
     pub(super) token: Token,
     pub(super) socket: TcpListener,
-    /// Accepted connections that the poll could not take yet.
+    /// Accepted connections that could not be registered with the poll yet.
     pub(super) unregistered: Vec<TcpStream>,
-    /// A timer for the next try is set already.
+    /// Whether a timer for the next try is set.
     is_retry_scheduled: bool,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl Proxy {
-    /// Accepts who waits, as many as one turn takes.
+    /// Accepts waiting connections, up to the maximum for one turn.
     pub(super) fn accept(&mut self) {
         if !self.lifecycle.accepts_connections() {
             return;
@@ -60,23 +61,23 @@
             }
         }
         if accepted == 0 {
-            // Each try failed at once: without a pause they would leave time for nothing else.
+            // Every accept failed: retrying without a pause would leave no time for other work.
             self.schedule_accept();
         } else if !self.unfinished_reads.contains(&self.listener.token) {
             self.unfinished_reads.push(self.listener.token);
         }
     }
 
-    /// A timer for the next try has fired.
+    /// Accepts again after the timer set by [`Proxy::schedule_accept`] has fired.
     pub(super) fn retry_accept(&mut self) {
         self.listener.is_retry_scheduled = false;
         self.accept();
     }
 
-    /// Takes a connection. One that the poll can't register now is kept for the next try: requests on it count as
-    /// taken once the machine has accepted it.
+    /// Admits an accepted connection. A connection that can't be registered with the poll now is kept for the
+    /// next try, because requests on it count as received once the system has accepted the connection.
     fn admit(&mut self, mut stream: TcpStream) {
-        // It fails where the peer has gone already, which the poll will report.
+        // This fails if the peer has already disconnected, which the poll will report.
         let _ = stream.set_nodelay(true);
         match self.event_loop.add(&mut stream, Interest::READABLE | Interest::WRITABLE) {
             Ok(token) => {
@@ -96,8 +97,8 @@
         self.schedule_accept();
     }
 
-    /// No event reports those who still wait after an accept that failed, so they are looked for again, with an idle
-    /// connection less where descriptors ran out.
+    /// Schedules the next accept after a failed one, because no event reports connections that are still
+    /// waiting. If descriptors ran out, an idle connection is closed first.
     pub(super) fn accept_failed(&mut self, reason: Failure) {
         self.metrics.accept_failures += 1;
         if reason == Failure::NoDescriptor {
@@ -106,8 +107,8 @@
         self.schedule_accept();
     }
 
-    /// Tries again after a pause. One timer at a time: each new connection brings an event, and a timer for each of
-    /// them would leave time for nothing else.
+    /// Schedules the next accept after a pause. At most one timer is set: each new connection causes a
+    /// readiness event, and a timer for each of them would leave no time for other work.
     fn schedule_accept(&mut self) {
         if !self.listener.is_retry_scheduled {
             self.listener.is_retry_scheduled = true;
@@ -115,18 +116,20 @@
         }
     }
 
-    /// Closes the least useful connections until there is a place for one more: of the silent ones, when they are
-    /// many, the oldest; else those that have been idle for longest. `false`: all are in use. Clients that connect by
-    /// hundreds, or that ask once and stay, keep neither other clients out nor descriptors from the rest.
+    /// Closes the least useful connections until there is room for one more. Where silent connections have
+    /// reached their limit, the oldest of them are closed first, then the connections that have been idle for
+    /// longest. Returns `false` if all connections are in use. This way, hundreds of clients that connect at
+    /// once, or that send one request and stay connected, lock out neither other clients nor the other users
+    /// of descriptors.
     pub(super) fn make_room(&mut self) -> bool {
         self.limit_silent_clients();
-        // Clients that go on sending while they are read must not keep this going for ever.
+        // The number of steps is bounded, because clients may keep sending while they are being read.
         let max_steps = MAX_EVICTION_ROUNDS * (self.clients.len() + 1);
         for _ in 0..max_steps {
             let (all, ending) = (self.clients.len(), self.clients.ending());
-            let has_place = all < self.bounds.clients
+            let has_room = all < self.bounds.clients
                 || ending <= self.bounds.closing && all < self.bounds.clients + ending;
-            if has_place {
+            if has_room {
                 return true;
             }
             if ending > self.bounds.closing {
@@ -141,8 +144,9 @@
         false
     }
 
-    /// Closes the least useful connection unless something has come on it. `false`: none is idle. After each call one
-    /// connection is on its way to its end, has been used just now, or is seen to have half a message.
+    /// Closes the least useful connection unless a message has arrived on it. Returns `false` if no
+    /// connection is idle. After each call one connection is closing, has just been used, or is known to have
+    /// a partial message.
     fn evict_idle_client(&mut self) -> bool {
         let Some((token, had_partial)) = self.clients.least_useful() else { return false };
         let is_in_use = self.read_client(token);
@@ -153,11 +157,11 @@
         true
     }
 
-    /// Closes the oldest silent connections while there are as many as may be.
+    /// Closes the oldest silent connections until their number is below the limit.
     fn limit_silent_clients(&mut self) {
         while self.clients.silent() >= self.bounds.silent_clients {
             let Some(token) = self.clients.oldest_silent() else { return };
-            // After this it has sent a message, or is on its way to its end.
+            // After this read the client has sent a message, or its connection is closing.
             self.read_client(token);
             if self.clients.get(&token).is_some_and(Client::is_silent) {
                 self.metrics.evicted_silent_clients += 1;
@@ -166,9 +170,9 @@
         }
     }
 
-    /// Closes the connection that is missed least, so that a descriptor is free: an idle client's, or else an idle one
-    /// to an upstream. `false`: all are in use. What has come unread on a connection keeps it: a dial wants the
-    /// descriptor in the middle of other work, which is no time to act on messages.
+    /// Frees a descriptor by closing the least useful connection: that of an idle client, or else an idle
+    /// upstream connection. Returns `false` if all are in use. A client connection with unread input is kept,
+    /// because dials free descriptors in the middle of other work, when messages can't be handled.
     pub(super) fn free_descriptor(&mut self) -> bool {
         if let Some(token) = self.clients.least_useful_unread() {
             self.metrics.evicted_idle_clients += 1;
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -1,7 +1,7 @@
-//! The clients' side: connections, what is read on them and how they end.
+//! Client connections: reading and handling messages, writing responses, and closing.
 //!
-//! [`Clients`] owns the connections and chooses among them; [`super::client_admission`] accepts and evicts them,
-//! [`super::requests`] holds what was asked on them.
+//! [`Clients`] owns the connections and selects among them; [`super::client_admission`] accepts and evicts
+//! them, and [`super::requests`] holds the requests received on them.
 
 use super::message_buffer::MessageBuffer;
 use super::timers::MILLISECOND;
@@ -19,63 +19,67 @@
 use slog::warn;
 
 const MICROS_PER_S: f64 = 1e6;
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_STREAMS: usize = 32;
-/// Requests of one connection that may be cancelled beyond those that are answered.
+/// Maximum number of requests of one connection that may be cancelled in excess of those answered.
 pub(super) const MAX_UNANSWERED_CANCELS: u32 = 64;
-/// No client waits longer than this many times what its class allows, and no transfer takes longer.
+/// Maximum client timeout and transfer time, as a multiple of the deadline of the request's class.
 const MAX_TIMEOUT_FACTOR: u64 = 4;
-/// Bytes that may wait for a client before no more is read from it.
+/// Size of the write backlog, in bytes, above which reading from the client is paused.
 pub(super) const BACKLOG_HIGH_WATER: usize = 1 << 20;
-/// Bytes below which reading goes on.
+/// Size of the write backlog, in bytes, below which reading resumes.
 const BACKLOG_LOW_WATER: usize = 1 << 18;
-/// A client that takes none of what waits for it for so long is dropped.
+/// Time after which a client that reads none of its pending output is dropped, in microseconds.
 pub(super) const WRITE_STALL_TIMEOUT: Micros = 8_000 * MILLISECOND;
-/// A connection with no open request is closed after so long. Clients that reuse theirs close them after 4 s.
+/// Time after which a connection without open requests is closed, in microseconds. Clients that reuse their
+/// connections close them after 4 s.
 pub(super) const IDLE_TIMEOUT: Micros = 5_000 * MILLISECOND;
-/// The first message must be whole within this of the accept, any other within this of its first byte.
+/// Time in which a message must be complete, in microseconds: counted from the accept for the first message,
+/// from its first byte for any other.
 pub(super) const MESSAGE_TIMEOUT: Micros = 2_000 * MILLISECOND;
-/// Added to it while bytes keep coming. Some clients take 2 s to write a message, and a client that breaks the
-/// protocol is owed its error within 3 s of connecting.
+/// Extension of [`MESSAGE_TIMEOUT`] while bytes keep arriving, in microseconds. Some clients take 2 s to
+/// write a message, and a client that violates the protocol must get its error within 3 s of connecting.
 pub(super) const MESSAGE_TIMEOUT_EXTENSION: Micros = 600 * MILLISECOND;
-/// Bytes keep coming while there is no longer gap between them.
+/// Gap between received bytes from which a partial message no longer counts as arriving, in microseconds.
 const MESSAGE_STALL_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// A client whose connection was finished has so long to close its side.
+/// Time that a client has to close its side after the proxy has closed its own, in microseconds.
 pub(super) const CLOSE_TIMEOUT: Micros = 500 * MILLISECOND;
 
-/// A client's connection.
+/// A client connection.
 pub(super) struct Client {
     pub(super) conn: Connection<TcpStream>,
     last_stream: u32,
-    /// The requests that await their response, by stream.
+    /// Requests that await their response, by stream.
     pub(super) open_streams: FxHashMap<u32, Id>,
-    /// It has been told that no new request is to come on this connection.
-    pub(super) is_sent_away: bool,
-    /// Requests cancelled, less those answered since.
+    /// Whether the client has been told to send no new request on this connection.
+    pub(super) is_told_to_leave: bool,
+    /// Number of requests cancelled, less those answered since.
     unanswered_cancels: u32,
-    /// Whole messages that it has sent.
+    /// Number of complete messages received.
     message_count: u64,
-    /// Since when a message that is not whole is awaited: from its first byte, the first one from the accept.
+    /// Start time of the message that is currently awaited: its first byte, or the accept for the first
+    /// message.
     message_awaited_since: Option<Micros>,
     pub(super) last_used: Micros,
-    /// Why nothing more is read from it. It is told so, as the last thing, once all its open requests are answered.
+    /// Protocol violation after which nothing more is read. The error is sent as the last message, once all
+    /// open requests are answered.
     protocol_error: Option<Malformed>,
 }
 
-/// The messages of one turn up to the first that is in breach of the protocol.
+/// Messages of one turn, up to the first that violates the protocol.
 #[derive(Default)]
 struct ValidatedMessages {
     messages: Vec<ClientMessage>,
     error: Option<Malformed>,
 }
 
-/// The streams that one turn's messages begin and cancel.
+/// Streams that the messages of one turn begin and cancel.
 struct TurnStreams {
-    /// The place of each new request among the messages.
+    /// Index of each new request in the list of messages, by stream.
     begun: FxHashMap<u32, usize>,
     cancelled: FxHashSet<u32>,
     open: usize,
-    /// A cancellation of a request that the same turn has begun was counted.
+    /// Whether a cancellation of a request that began in the same turn has been counted.
     has_counted_begun: bool,
 }
 
@@ -85,7 +89,7 @@
             conn: Connection::accepted(stream, now),
             last_stream: 0,
             open_streams: FxHashMap::default(),
-            is_sent_away: false,
+            is_told_to_leave: false,
             unanswered_cancels: 0,
             message_count: 0,
             message_awaited_since: Some(now),
@@ -94,23 +98,24 @@
         }
     }
 
-    /// Whether it has no open request and nothing waits to be written.
+    /// Returns whether the client has no open request and no pending output.
     pub(super) fn is_idle(&self) -> bool {
         self.open_streams.is_empty() && self.conn.backlog() == 0
     }
 
-    /// Whether it has ever sent a whole message.
+    /// Returns whether the client has sent at least one complete message.
     fn has_sent_message(&self) -> bool {
         self.message_count > 0
     }
 
-    /// Whether it is open and has never sent a whole message.
+    /// Returns whether the connection is open and the client has never sent a complete message.
     pub(super) fn is_silent(&self) -> bool {
         !self.has_sent_message() && self.conn.is_open()
     }
 
-    /// Notes what a read has brought, for the timeouts.
-    fn note_received(&mut self, now: Micros, messages: usize) {
+    /// Updates the times on which the timeouts depend, after a read that brought `messages` complete
+    /// messages.
+    fn record_received(&mut self, now: Micros, messages: usize) {
         self.last_used = now;
         self.message_count += messages as u64;
         let awaits_more = !self.has_sent_message() || self.conn.has_partial_message();
@@ -118,14 +123,15 @@
         self.message_awaited_since = awaits_more.then_some(since);
     }
 
-    /// Notes that a response went out; gives the request that awaited it.
-    pub(super) fn note_response(&mut self, stream: u32) -> Option<Id> {
+    /// Records that a response was sent, and returns the request that awaited it.
+    pub(super) fn record_response(&mut self, stream: u32) -> Option<Id> {
         self.unanswered_cancels = self.unanswered_cancels.saturating_sub(1);
         self.open_streams.remove(&stream)
     }
 
-    /// Checks what one turn has brought before any of it is acted on, and takes out the requests that were cancelled
-    /// within it. Requests that nobody waits for, or that can't be used, take nothing from the endpoints.
+    /// Validates the messages of one turn before any of them is handled, and drops requests that were
+    /// cancelled in the same turn. Requests that no client waits for, or that are invalid, must not reach the
+    /// endpoints.
     fn validate(
         &mut self,
         messages: Vec<ClientMessage>,
@@ -142,7 +148,7 @@
             match &message {
                 ClientMessage::Ready { .. } => {}
                 ClientMessage::Cancel { stream } => {
-                    self.note_cancel(*stream, &mut streams, &mut valid.messages);
+                    self.record_cancel(*stream, &mut streams, &mut valid.messages);
                     if self.unanswered_cancels > MAX_UNANSWERED_CANCELS {
                         valid.error = Some(Malformed::TooManyCancels);
                     }
@@ -165,24 +171,26 @@
         valid
     }
 
-    /// Counts a cancellation, and takes a request of the same turn out of the messages. All of these together count as
-    /// one: they cost nothing but their reading, and many come at once where the process was stopped for a while.
-    fn note_cancel(&mut self, stream: u32, streams: &mut TurnStreams, messages: &mut [ClientMessage]) {
+    /// Counts a cancellation, and drops its request if that came in the same turn. All such requests of one
+    /// turn count as one, because they cost nothing but reading, and many arrive at once after the process
+    /// was stopped for a while.
+    fn record_cancel(&mut self, stream: u32, streams: &mut TurnStreams, messages: &mut [ClientMessage]) {
         let is_known = streams.begun.contains_key(&stream) || self.open_streams.contains_key(&stream);
         let is_first = is_known && streams.cancelled.insert(stream);
         if is_first {
             streams.open -= 1;
         }
-        if let Some(place) = streams.begun.remove(&stream) {
-            // A cancellation of no stream takes its place, so that the places of the others stay right.
-            messages[place] = ClientMessage::Cancel { stream: 0 };
+        if let Some(index) = streams.begun.remove(&stream) {
+            // A cancellation of stream 0, which does not exist, replaces the request, so that the indices of
+            // the other messages stay valid.
+            messages[index] = ClientMessage::Cancel { stream: 0 };
             self.unanswered_cancels += u32::from(!std::mem::replace(&mut streams.has_counted_begun, true));
         } else if is_first {
             self.unanswered_cancels += 1;
         }
     }
 
-    /// Takes the number of a new request's stream, where so many are open.
+    /// Begins the stream of a new request on a connection with `open` open requests.
     fn begin_stream(&mut self, stream: u32, open: usize) -> Result<(), Malformed> {
         if stream <= self.last_stream {
             return Err(Malformed::StreamReused);
@@ -195,36 +203,37 @@
     }
 }
 
-/// The longest that a client may wait for a request of a class with this deadline.
+/// Returns the maximum client timeout for a class with this deadline.
 fn longest_timeout(deadline: Micros) -> Micros {
     deadline.saturating_mul(MAX_TIMEOUT_FACTOR)
 }
 
-/// How long one transfer of a size takes, in microseconds; 0 where the settings do not tell its pace.
+/// Returns the transfer time of a response of this size, in microseconds, or 0 if the settings contain no
+/// transfer rate.
 fn transfer_time_us(size_kb: f64, settings: &Document) -> f64 {
-    let pace_kb_per_s = settings.domain.flow_kb_per_s;
-    if pace_kb_per_s > 0.0 {
-        size_kb / pace_kb_per_s * MICROS_PER_S
+    let transfer_rate_kb_per_s = settings.domain.flow_kb_per_s;
+    if transfer_rate_kb_per_s > 0.0 {
+        size_kb / transfer_rate_kb_per_s * MICROS_PER_S
     } else {
         0.0
     }
 }
 
-/// Whether a transfer of a size ends before even the most patient client of a class with this deadline gives up. A
-/// request of which no transfer does is well-formed, and is rejected on its own.
+/// Returns whether a transfer of this size ends within the maximum client timeout of a class with this
+/// deadline. A request that is too large is well-formed and is rejected without closing the connection.
 pub(super) fn can_transfer_in_time(size_kb: f64, deadline: Micros, settings: &Document) -> bool {
     transfer_time_us(size_kb, settings) <= longest_timeout(deadline) as f64
 }
 
-/// Checks that the settings know a request and that its client can mean it. `may_lack_key`: the settings by which it
-/// was made may not have asked for a key.
+/// Checks that a request's class is configured and that its values are in range. `may_lack_key` allows a
+/// missing idempotency key, because the request may have been made when the settings did not require one.
 fn check_request(
     request: &ClientRequest,
     settings: &Document,
-    named: ClassLookup,
+    class_lookup: ClassLookup,
     may_lack_key: bool,
 ) -> Result<(), Malformed> {
-    let (class, deadline) = match named {
+    let (class, deadline) = match class_lookup {
         ClassLookup::Found { deadline, class, .. } => (class, deadline),
         ClassLookup::Dropped => return Ok(()),
         ClassLookup::Unknown => return Err(Malformed::UnknownRoute),
@@ -241,14 +250,14 @@
     Ok(())
 }
 
-/// Connections whose time is over, by what becomes of them.
+/// Connections that have exceeded a timeout, by how they are closed.
 struct ExpiredClients {
-    /// To be dropped.
+    /// Connections to be dropped at once.
     stalled: Vec<Token>,
-    /// To be closed unless something has come meanwhile.
+    /// Connections to be closed unless a message has arrived meanwhile.
     idle: Vec<Token>,
-    /// To be closed whatever comes, since the process ends.
-    parting: Vec<Token>,
+    /// Connections to be closed in any case, because the process is stopping.
+    closing_for_shutdown: Vec<Token>,
 }
 
 /// The connections of all clients.
@@ -298,16 +307,16 @@
         self.by_token.keys().copied().collect()
     }
 
-    fn tokens_where(&self, wanted: impl Fn(&Client) -> bool) -> Vec<Token> {
-        self.by_token.iter().filter(|(_, client)| wanted(client)).map(|(token, _)| *token).collect()
+    fn tokens_where(&self, is_selected: impl Fn(&Client) -> bool) -> Vec<Token> {
+        self.by_token.iter().filter(|(_, client)| is_selected(client)).map(|(token, _)| *token).collect()
     }
 
-    /// How many are on their way to their end.
+    /// Returns the number of connections that are closing.
     pub(super) fn ending(&self) -> usize {
         self.by_token.values().filter(|client| client.conn.is_ending()).count()
     }
 
-    /// The one on its way to its end on which nothing has moved for longest.
+    /// Returns the closing connection that has made no write progress for longest.
     pub(super) fn longest_ending(&self) -> Option<Token> {
         let ending = self.by_token.iter().filter(|(_, client)| client.conn.is_ending());
         ending
@@ -315,8 +324,8 @@
             .map(|(token, _)| *token)
     }
 
-    /// The open connection that is missed least: idle for longest, with half a message only if all others have one.
-    /// With it, whether it has.
+    /// Returns the least useful open connection, and whether it has a partial message: the one idle for
+    /// longest without a partial message, or, if all idle connections have one, the one idle for longest.
     pub(super) fn least_useful(&self) -> Option<(Token, bool)> {
         let idle = self.by_token.iter().filter(|(_, client)| client.is_idle() && client.conn.is_open());
         let rank = |(token, client): &(&Token, &Client)| {
@@ -325,18 +334,18 @@
         idle.min_by_key(rank).map(|(token, client)| (*token, client.conn.has_partial_message()))
     }
 
-    /// How many are silent.
+    /// Returns the number of silent connections.
     pub(super) fn silent(&self) -> usize {
         self.by_token.values().filter(|client| client.is_silent()).count()
     }
 
-    /// The silent one that was accepted first.
+    /// Returns the silent connection with the oldest accept or read.
     pub(super) fn oldest_silent(&self) -> Option<Token> {
         let silent = self.by_token.iter().filter(|(_, client)| client.is_silent());
         silent.min_by_key(|(token, client)| (client.last_used, **token)).map(|(token, _)| *token)
     }
 
-    /// The idle connection that is missed least among those on which nothing has come unread.
+    /// Returns the least useful idle connection without unread input.
     pub(super) fn least_useful_unread(&mut self) -> Option<Token> {
         let mut idle: Vec<(bool, Micros, Token)> = self
             .by_token
@@ -351,45 +360,49 @@
         idle.into_iter().map(|(_, _, token)| token).find(|token| !has_pending_input(token))
     }
 
-    /// Connections whose time is over. Where all together hold more than `max_buffered` bytes, the one with the most
-    /// is among them.
+    /// Returns the connections that have exceeded a timeout. If all connections together buffer more than
+    /// `max_buffered` bytes, the one that buffers most is included.
     fn expired(&self, now: Micros, lifecycle: &Lifecycle, max_buffered: usize) -> ExpiredClients {
         let since = |moment: Micros| now.saturating_sub(moment);
         let is_stalled = |client: &Client| {
-            let takes_nothing =
+            let is_not_reading =
                 client.conn.backlog() > 0 && since(client.conn.last_write_progress) >= WRITE_STALL_TIMEOUT;
-            let stays = client.conn.state() == State::Lingering
+            let is_unclosed = client.conn.state() == State::Lingering
                 && since(client.conn.last_write_progress) >= CLOSE_TIMEOUT;
-            takes_nothing || stays
+            is_not_reading || is_unclosed
         };
         let is_idle = |client: &Client| {
             let idle_time = since(client.last_used);
             let connection = IdleConnection {
-                is_leaving: client.is_sent_away,
+                is_leaving: client.is_told_to_leave,
                 had_request: client.has_sent_message(),
                 idle: idle_time,
             };
-            let drains = lifecycle.closes(now, connection) && !client.conn.has_partial_message();
-            client.conn.is_open() && client.is_idle() && (idle_time >= IDLE_TIMEOUT || drains)
+            let closes_by_phase = lifecycle.closes(now, connection) && !client.conn.has_partial_message();
+            client.conn.is_open() && client.is_idle() && (idle_time >= IDLE_TIMEOUT || closes_by_phase)
         };
-        let is_parting = |client: &Client| lifecycle.ends_partial_messages(now) && client.is_idle();
+        let closes_for_shutdown = |client: &Client| lifecycle.ends_partial_messages(now) && client.is_idle();
         let mut stalled = self.tokens_where(is_stalled);
         let buffered: usize = self.by_token.values().map(|client| client.conn.buffered_bytes()).sum();
         if buffered > max_buffered {
             let largest = self.by_token.iter().max_by_key(|(_, client)| client.conn.buffered_bytes());
             stalled.extend(largest.map(|(token, _)| *token));
         }
-        ExpiredClients { stalled, idle: self.tokens_where(is_idle), parting: self.tokens_where(is_parting) }
+        ExpiredClients {
+            stalled,
+            idle: self.tokens_where(is_idle),
+            closing_for_shutdown: self.tokens_where(closes_for_shutdown),
+        }
     }
 
-    /// Connections on which a message was not whole in time. Where responses wait to be taken, reading may have
-    /// stopped here: that is not the message's fault.
+    /// Returns the connections on which a message was not complete in time. Connections with a write backlog
+    /// are left out, because reading from them may be paused.
     fn with_overdue_message(&self, now: Micros) -> Vec<Token> {
         let since = |moment: Micros| now.saturating_sub(moment);
         let timeout = |client: &Client| {
-            let keeps_coming =
+            let is_arriving =
                 client.conn.has_partial_message() && since(client.conn.last_received) < MESSAGE_STALL_TIMEOUT;
-            MESSAGE_TIMEOUT + if keeps_coming { MESSAGE_TIMEOUT_EXTENSION } else { 0 }
+            MESSAGE_TIMEOUT + if is_arriving { MESSAGE_TIMEOUT_EXTENSION } else { 0 }
         };
         self.tokens_where(|client| {
             let is_overdue =
@@ -400,26 +413,26 @@
 }
 
 impl Proxy {
-    /// A client's connection is ready.
+    /// Handles readiness of a client connection.
     pub(super) fn client_ready(&mut self, event: Ready) {
         let token = event.token;
         let Some(client) = self.clients.get_mut(&token) else { return };
         let mut received = MessageBuffer::new(frames::decode);
         client.conn.ready(self.now, event.readable, event.writable, &mut received);
         if received.has_received {
-            client.note_received(self.now, received.messages.len());
+            client.record_received(self.now, received.messages.len());
         }
-        // A client that closes its side has abandoned all its requests, also those that came just before. Only where
-        // it broke the protocol is it still told so.
-        let has_left =
+        // A client that closes its side has abandoned all its requests, including those just received. It is
+        // sent an error only if it violated the protocol.
+        let has_disconnected =
             event.ended && client.conn.is_open() || matches!(client.conn.state(), State::Closed(_));
-        if has_left {
+        if has_disconnected {
             return self.drop_client(token);
         }
         let valid = client.validate(received.messages, |request| {
-            let named = self.classes.find(self.now, &request.route);
+            let class_lookup = self.classes.find(self.now, &request.route);
             let may_lack_key = self.classes.recently_allowed_no_key(self.now, &request.route);
-            check_request(request, &self.settings, named, may_lack_key)
+            check_request(request, &self.settings, class_lookup, may_lack_key)
         });
         if let Some(error) = valid.error.or(received.error) {
             self.reject_messages(token, valid.messages);
@@ -433,9 +446,9 @@
         }
     }
 
-    /// Takes what a client has sent that no event has reported yet: whole requests that are there count, also in the
-    /// moment in which their connection is to end. Whether a whole message had come: then the connection is in use,
-    /// also where all that came was answered at once.
+    /// Reads and handles input that no event has reported yet, so that complete requests are handled even
+    /// when their connection is about to be closed. Returns whether a complete message had arrived: the
+    /// connection is then in use, even if everything was answered at once.
     pub(super) fn read_client(&mut self, token: Token) -> bool {
         let message_count = |proxy: &Proxy| proxy.clients.get(&token).map(|client| client.message_count);
         let before = message_count(self);
@@ -446,7 +459,7 @@
     fn handle_messages(&mut self, token: Token, messages: Vec<ClientMessage>) {
         for message in messages {
             self.handle_message(token, message);
-            // Each is decided on what is known after the one before it.
+            // Each message is handled after the router has handled the one before it.
             self.settle();
         }
         self.after_client_write(token);
@@ -464,9 +477,9 @@
             }
             ClientMessage::Request { stream, request } => {
                 if self.lifecycle.sends_clients_away() {
-                    self.send_away(token);
+                    self.tell_client_to_leave(token);
                 }
-                // Writing that may have shown that it is gone.
+                // Writing the notice may have shown that the client has disconnected.
                 if !self.clients.contains(&token) {
                     return;
                 }
@@ -478,7 +491,8 @@
         }
     }
 
-    /// Looks after a client to whom something was written.
+    /// Updates a connection after a write: closes it where it has ended, pauses or resumes reading by the
+    /// size of its backlog, and schedules unread input.
     pub(super) fn after_client_write(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
         match client.conn.state() {
@@ -498,13 +512,13 @@
         }
     }
 
-    /// Reads no more from a client that broke the protocol. What was taken from it before is still answered, each
-    /// request in its own time, since a request whose connection ends without a response counts as lost. Then it is
-    /// told, and its connection ends.
+    /// Stops reading from a client that violated the protocol. Requests admitted before are still answered,
+    /// each within its own deadline, because a request whose connection ends without a response counts as
+    /// lost. Then the error is sent and the connection is closed.
     fn refuse_client(&mut self, token: Token, error: Malformed) {
         self.metrics.client_protocol_errors += 1;
         let open = self.clients.get(&token).map(|client| client.open_streams.len());
-        warn!(self.log, "client refused"; "reason" => %error, "open_requests" => open);
+        warn!(self.log, "client violated the protocol, closing its connection"; "reason" => %error, "open_requests" => open);
         let Some(client) = self.clients.get_mut(&token) else { return };
         client.conn.discard_input();
         client.message_awaited_since = None;
@@ -513,8 +527,8 @@
         self.after_client_write(token);
     }
 
-    /// Answers what came in the turn in which its client broke the protocol. Its requests were taken, so each is owed
-    /// a response; none is worth an attempt.
+    /// Rejects the requests that arrived in the same turn as a protocol violation of their client. Each of
+    /// them is owed a response, but no attempt is made for them.
     fn reject_messages(&mut self, token: Token, messages: Vec<ClientMessage>) {
         for message in messages {
             match message {
@@ -530,37 +544,37 @@
         }
     }
 
-    /// Whether a client is still idle after what it sent was read, and no message has begun to come but the one that
-    /// had: `had_partial`.
+    /// Returns whether a client is still idle after its input was read, and no message has begun to arrive
+    /// apart from the one that was partial before (`had_partial`).
     pub(super) fn is_still_idle(&self, token: Token, had_partial: bool) -> bool {
         let is_idle =
             |client: &Client| client.is_idle() && (had_partial || !client.conn.has_partial_message());
         self.clients.get(&token).is_some_and(is_idle)
     }
 
-    /// Finishes a connection unless something has come on it meanwhile. Its client goes on where requests came: one
-    /// that is under way would cross the close.
+    /// Closes an idle connection unless input has arrived meanwhile. After a request the connection stays
+    /// open, since a further request that is under way would cross the close.
     pub(super) fn finish_idle_client(&mut self, token: Token) {
         let is_in_use = self.read_client(token);
         if !is_in_use && self.is_still_idle(token, false) {
             return self.finish_client(token);
         }
         if let Some(client) = self.clients.get_mut(&token) {
-            // A message that has begun to come counts as use; its own timeout runs.
+            // A partial message counts as use; its own timeout applies.
             client.last_used = self.now;
         }
     }
 
-    /// Finishes a connection on which nothing more is begun, once what had come is answered.
-    fn finish_parting_client(&mut self, token: Token) {
+    /// Closes a connection that accepts no more requests, after handling the input that had arrived.
+    fn finish_client_for_shutdown(&mut self, token: Token) {
         self.read_client(token);
         if self.is_still_idle(token, true) {
             self.finish_client(token);
         }
     }
 
-    /// Writes what waits for a client, closes our side, and lets the connection go once the client has closed its
-    /// own. Requests that come now find the end, and are sent again elsewhere.
+    /// Writes the pending output, closes the proxy's side, and removes the connection once the client has
+    /// closed its own. A client whose requests cross the close sends them again on another connection.
     pub(super) fn finish_client(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
         if let Some(error) = client.protocol_error.take() {
@@ -573,7 +587,7 @@
         self.after_client_write(token);
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection at once and abandons its open requests.
     pub(super) fn drop_client(&mut self, token: Token) {
         let Some(client) = self.clients.remove(&token) else { return };
         for (_, id) in client.open_streams {
@@ -581,7 +595,8 @@
         }
     }
 
-    /// Ends what no event reports: idle connections, messages that never get whole, clients that do not read.
+    /// Handles timeouts that no event reports: idle connections, messages that are not completed, and clients
+    /// that do not read.
     pub(super) fn sweep_clients(&mut self) {
         let expired = self.clients.expired(self.now, &self.lifecycle, self.bounds.client_buffers);
         for token in expired.stalled {
@@ -590,8 +605,8 @@
         for token in expired.idle {
             self.finish_idle_client(token);
         }
-        for token in expired.parting {
-            self.finish_parting_client(token);
+        for token in expired.closing_for_shutdown {
+            self.finish_client_for_shutdown(token);
         }
         for token in self.clients.with_overdue_message(self.now) {
             self.refuse_client(token, Malformed::MessageTimeout);
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -34,19 +34,19 @@
         }
         if self.lifecycle.sends_clients_away() {
             for token in self.clients.tokens() {
-                self.send_away(token);
+                self.tell_client_to_leave(token);
             }
         }
         Ok(())
     }
 
     /// Tells a client once that no new request is to come on its connection.
-    pub(super) fn send_away(&mut self, token: Token) {
+    pub(super) fn tell_client_to_leave(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
-        if client.is_sent_away {
+        if client.is_told_to_leave {
             return;
         }
-        client.is_sent_away = true;
+        client.is_told_to_leave = true;
         client.conn.queue(frames::encode_leaving());
         client.conn.flush(self.now);
         self.after_client_write(token);
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -121,7 +121,7 @@
 
     /// Records how many bytes have been written on the attempt's connection. Returns whether the attempt has
     /// now been written completely for the first time.
-    pub(super) fn note_written(&mut self, bytes_written: u64) -> bool {
+    pub(super) fn record_written(&mut self, bytes_written: u64) -> bool {
         let is_complete = self.end_offset.is_some_and(|end| bytes_written >= end);
         let is_first = is_complete && !self.is_written;
         self.is_written |= is_complete;
@@ -351,7 +351,7 @@
             self.remove_request(id);
         }
         let Some(client) = self.clients.get_mut(&token) else { return };
-        let awaited = client.note_response(stream);
+        let awaited = client.record_response(stream);
         invariant!(awaited.as_ref() == Some(id), "a response belongs to an open stream");
         client.conn.queue(frames::encode_response(stream, &response));
         client.conn.flush(self.now);
