--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -1,6 +1,7 @@
-//! The command channel joined to the loop: dialed, read, and dialed again; its commands take effect here.
+//! Connects the command channel to the event loop: dials and reads it, and executes its commands.
 //!
-//! When a connection is dead and where events continue [`crate::net::command_channel`] decides.
+//! [`crate::net::command_channel`] decides when a connection has failed and from which event the channel
+//! resumes.
 
 use super::message_buffer::MessageBuffer;
 use super::timers::{TimerEvent, MILLISECOND};
@@ -13,34 +14,34 @@
 use crate::routing::events::{Event, Micros};
 use slog::{debug, warn};
 
-/// Remedy where the channel is not reached or falls silent.
+/// Remedy if the channel is unreachable or silent.
 const UNREACHABLE_REMEDY: &str =
-    "it is dialed again; if this goes on, see whether discovery runs and answers there, or name another 'channel' in \
-     the configuration and send SIGHUP";
-/// Remedy where an event is missing.
+    "the channel is dialed again; if this persists, check that discovery is running and reachable, or set another \
+     'channel' in the configuration and send SIGHUP";
+/// Remedy if an event is missing.
 const GAP_REMEDY: &str =
-    "it is asked for once more; if this comes often, compare what discovery sent with its numbers";
-/// Remedy where it was missing twice.
+    "the events are requested again; if this happens often, compare the numbers of the events that discovery sent";
+/// Remedy if an event is still missing after it was requested again.
 const LOST_EVENTS_REMEDY: &str =
-    "a drain or a purge may not have been received: see what discovery has under the numbers between, and restart \
-     this instance if that is not known";
-/// Remedy where bytes can't be read.
+    "a drain or a purge may not have been received: check which events discovery sent under the missing numbers, and \
+     restart this instance if they are not known";
+/// Remedy if a frame can't be decoded.
 const MALFORMED_REMEDY: &str =
-    "the list stays as it was and the channel is dialed again; see what discovery sends after this event, and whether \
-     it speaks this version of the protocol";
-/// Remedy where there is no descriptor.
+    "the endpoint list is unchanged and the channel is dialed again; check what discovery sends after this event, and \
+     that it uses this version of the protocol";
+/// Remedy if no descriptor is free.
 const NO_DESCRIPTOR_REMEDY: &str =
-    "the oldest idle connection was closed; raise the process's limit of open files, or lower 'limits.sockets' in the \
-     configuration to it";
+    "the oldest idle connection was closed; raise the limit of open files of the process, or lower 'limits.sockets' in \
+     the configuration to that limit";
 
 impl Proxy {
-    /// The channel's connection is ready.
+    /// Handles readiness of the channel's connection.
     pub(super) fn command_channel_ready(&mut self, event: Ready) {
         let mut received = MessageBuffer::new(decode);
         self.discovery.command_channel.ready(self.now, event.readable, event.writable, &mut received);
         for numbered in received.messages {
-            if !self.take_command(numbered) {
-                // What came behind the gap in this turn comes again as well.
+            if !self.apply_command(numbered) {
+                // The messages after the gap are discarded, because they are sent again as well.
                 self.discovery.command_channel.ask_again(self.now);
                 return self.run_command_channel();
             }
@@ -57,13 +58,14 @@
         self.schedule_command_channel();
     }
 
-    /// Executes a command that is new. `false`: events are missing before it, and it must come again.
-    fn take_command(&mut self, numbered: Numbered) -> bool {
+    /// Executes a command unless it was executed before. Returns `false` if events before it are missing, so
+    /// that it must be sent again.
+    fn apply_command(&mut self, numbered: Numbered) -> bool {
         let cursor = self.discovery.command_channel.cursor();
-        let taken = self.discovery.command_channel.take_frame(self.now, &numbered);
+        let outcome = self.discovery.command_channel.take_frame(self.now, &numbered);
         let (number, command) = numbered;
         let channel = &self.discovery.command_channel;
-        match taken {
+        match outcome {
             FrameOutcome::Known => return true,
             FrameOutcome::New => {}
             FrameOutcome::NewAfterGap => {
@@ -83,7 +85,7 @@
         true
     }
 
-    /// Closes the channel's connection where it is no use any more; whether it did.
+    /// Closes the channel's connection if it has failed; returns whether it did.
     fn close_dead_command_channel(&mut self) -> bool {
         let channel = &mut self.discovery.command_channel;
         let Some(reason) = channel.failure(self.now) else { return false };
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Closes, dials and checks, as is due.
+    /// Closes a failed connection, dials if a dial is due, and sets the timer for the next check.
     pub(super) fn run_command_channel(&mut self) {
         self.close_dead_command_channel();
         if self.discovery.command_channel.wants_dial(self.now) {
@@ -107,8 +109,8 @@
         self.schedule_command_channel();
     }
 
-    /// Sets a timer for the next check. Checks by the sweep alone would be late by one interval at each of a row of
-    /// failures, too late in sum for what the channel tells.
+    /// Sets a timer for the next check. If only the sweep checked the channel, each of several failures in a
+    /// row would be noticed up to one interval late, which together is too late for drains and purges.
     fn schedule_command_channel(&mut self) {
         let at = self.discovery.command_channel.next_check().max(self.now + MILLISECOND);
         if self.discovery.command_channel_timer.is_none_or(|set| at < set) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// A timer has fired; an earlier one may have replaced it.
+    /// Handles a timer of the command channel, unless an earlier timer has replaced it.
     pub(super) fn command_channel_due(&mut self, at: Micros) {
         if self.discovery.command_channel_timer == Some(at) {
             self.discovery.command_channel_timer = None;
@@ -129,7 +131,7 @@
         let address = self.discovery.command_channel.address();
         let mut dial = self.event_loop.connect(address);
         if dial.as_ref().is_err_and(is_out_of_descriptors) && self.free_descriptor() {
-            // It is used here: the next client to connect would take it.
+            // The freed descriptor is used at once, because the next client connection would take it.
             warn!(self.log, "command channel: no descriptor was free"; "remedy" => NO_DESCRIPTOR_REMEDY);
             dial = self.event_loop.connect(address);
         }
@@ -146,17 +148,19 @@
         }
     }
 
-    /// Executes a command.
+    /// Executes a command of the channel.
     pub(super) fn execute(&mut self, command: Command) {
         match command {
-            // Two sources of one list would undo each other's drains.
+            // With a registry the channel's endpoint list is ignored, because two sources would undo each
+            // other's drains.
             Command::Endpoints { .. } if self.discovery.has_registry() => {}
             Command::Endpoints { whole, records } => self.take_endpoints(whole, records),
             Command::Purge { what, when_ms } => self.purge(what, when_ms),
         }
     }
 
-    /// A purge was made at a moment by the clock of who made it.
+    /// Applies a purge that was made at `made_unix_ms`, by the clock of its sender, to the local cache and
+    /// the router.
     fn purge(&mut self, scope: Purge, made_unix_ms: u64) {
         let age = self.now - self.timestamps.event(self.now, made_unix_ms);
         debug!(self.log, "purge"; "scope" => ?scope, "age_ms" => age / MILLISECOND);
--- a/src/proxy/configuration.rs
+++ b/src/proxy/configuration.rs
@@ -108,9 +108,9 @@
         self.configuration.reload_retries = None;
         let fixed = [("name", new.name == self.name), ("listen", new.listen == self.configuration.listen)];
         for (what, _) in fixed.iter().filter(|(_, is_same)| !is_same) {
-            warn!(self.log, "takes a restart to change"; "what" => what);
+            warn!(self.log, "setting change requires a restart"; "what" => what);
         }
-        info!(self.log, "configuration read again"; "channel" => %new.channel,
+        info!(self.log, "configuration reloaded"; "channel" => %new.channel,
               "classes" => ?new.settings.classes.iter().map(|class| &class.name).collect::<Vec<_>>());
         self.admin_metrics.reloads[0] += 1;
         self.apply_configuration(new);
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -1,7 +1,7 @@
-//! Where the endpoint list comes from, and its way to the pool and the router.
+//! Sources of the endpoint list, and the propagation of its changes to the pool and the router.
 //!
-//! The list itself is [`crate::endpoints`]. It is fed by the command channel or, where the product names a registry,
-//! by the registry's driver.
+//! [`crate::endpoints`] holds the list. The command channel or, if the product configures a registry, the
+//! registry's driver updates it.
 
 use super::timers::TimerEvent;
 use super::Proxy;
@@ -21,30 +21,31 @@
 use slog::{info, warn};
 use std::net::SocketAddr;
 
-/// Most endpoints that the list may hold.
+/// Maximum number of endpoints in the list.
 const MAX_ENDPOINTS: usize = 65_536;
-/// Updates taken from the registry in one turn.
+/// Maximum number of registry updates handled in one turn.
 const MAX_UPDATES_PER_TURN: usize = 512;
-/// Changes of the list announced to the router in one turn.
+/// Maximum number of changes of the list passed to the router in one turn.
 const MAX_ANNOUNCEMENTS_PER_TURN: usize = 256;
 
-/// The sources of the endpoint list, and the list.
+/// Sources of the endpoint list, and the list itself.
 pub(super) struct Discovery {
     pub(super) command_channel: CommandChannel,
-    /// The timer that is set for the channel.
+    /// Time of the timer that is set for the channel.
     pub(super) command_channel_timer: Option<Micros>,
     registry: Option<Box<Driver>>,
-    /// The timer that is set for the registry.
+    /// Time of the timer that is set for the registry.
     registry_timer: Option<Micros>,
-    /// One turn did not take all that the registry has, or did not announce all that changed.
+    /// Whether updates of the registry, or changes of the list, are left for the next turn.
     pub(super) has_more: bool,
     pub(super) membership: EndpointList,
-    /// What was known before the start has been taken: what comes from now on has just happened.
+    /// Whether the endpoints known before the start have been applied. Records received from then on count as
+    /// events that have just happened.
     is_started: bool,
 }
 
 impl Discovery {
-    /// Begins with a channel that has the events up to `cursor`, and an empty list.
+    /// Creates an empty list, and a channel that resumes after the event `cursor`.
     pub(super) fn new(channel: SocketAddr, cursor: u64) -> Self {
         Discovery {
             command_channel: CommandChannel::new(channel, cursor),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes the list from a registry from now on.
+    /// Makes a registry the source of the list.
     pub(super) fn use_registry(&mut self, driver: Driver) {
         self.registry = Some(Box::new(driver));
     }
@@ -70,7 +71,7 @@
         self.is_started = true;
     }
 
-    /// Hands an event to the registry's driver if it is its own; whether it was.
+    /// Passes an event to the registry's driver if it belongs to its connection; returns whether it did.
     pub(super) fn registry_ready(&mut self, event: Ready) -> bool {
         let Some(registry) = &mut self.registry else { return false };
         let is_own = registry.token() == Some(event.token);
@@ -80,21 +81,23 @@
         is_own
     }
 
-    /// Notes that a timer of the registry's has fired; an earlier one may have replaced it.
+    /// Clears the registry's timer after it has fired, unless an earlier timer has replaced it.
     pub(super) fn registry_timer_fired(&mut self, at: Micros) {
         if self.registry_timer == Some(at) {
             self.registry_timer = None;
         }
     }
 
-    /// Lets the registry's driver do what is due; gives a portion of its updates, or `None` without a registry.
+    /// Runs a turn of the registry's driver. Returns its next updates, up to the maximum for one turn, or
+    /// `None` without a registry.
     fn poll_registry(&mut self, now: Micros, event_loop: &mut EventLoop) -> Option<Vec<Update>> {
         let registry = self.registry.as_mut()?;
         registry.turn(now, event_loop);
         Some(registry.take_updates(MAX_UPDATES_PER_TURN).collect())
     }
 
-    /// Looks whether there is more to do at once. If not, gives the moment of the next turn, if a timer is to be set.
+    /// Checks whether work is left for the next turn. If not, returns the time for which a timer is to be
+    /// set, or `None` if a timer that is early enough is set.
     fn schedule_registry(&mut self) -> Option<Micros> {
         let registry = self.registry.as_ref()?;
         self.has_more = registry.wants_turn() || self.membership.has_changes();
@@ -106,25 +109,25 @@
         Some(next)
     }
 
-    /// Whether a token is of a source of the list.
+    /// Returns whether a token belongs to a source of the list.
     pub(super) fn owns(&self, token: Token) -> bool {
         self.is_command_channel(token)
             || self.registry.as_ref().is_some_and(|registry| registry.token() == Some(token))
     }
 
-    /// Whether a token is the command channel's.
+    /// Returns whether a token belongs to the command channel.
     pub(super) fn is_command_channel(&self, token: Token) -> bool {
         self.command_channel.token() == Some(token)
     }
 
-    /// Writes the registry's metrics into the log.
+    /// Logs the registry's metrics.
     pub(super) fn report(&self, now: Micros) {
         if let Some(registry) = &self.registry {
             registry.report(now, &self.membership.counts());
         }
     }
 
-    /// An endpoint as the command channel describes it.
+    /// Converts an endpoint record of the command channel.
     fn entry_of_record(
         &self,
         now: Micros,
@@ -158,7 +161,7 @@
     }
 }
 
-/// An endpoint as the registry describes it.
+/// Converts an endpoint record of the registry.
 fn entry_of_registry(
     now: Micros,
     id: Id,
@@ -185,7 +188,7 @@
         cell: endpoint.cell,
         kind: endpoint.kind,
         weight: endpoint.weight,
-        // Where the record does not say when its endpoint started, it counts as cold from now.
+        // An endpoint whose record contains no start time counts as started now, which means cold.
         started_at: match started {
             StartTime::Unknown => now,
             StartTime::RecordedOrNow if endpoint.started_ms == 0 => now,
@@ -196,11 +199,12 @@
 }
 
 impl Proxy {
-    /// Lets the registry's driver do what is due, and takes over what follows for the list, in portions.
+    /// Runs a turn of the registry's driver, and applies its updates to the list up to the maximum for one
+    /// turn.
     pub(super) fn run_registry(&mut self) {
         let Some(updates) = self.discovery.poll_registry(self.now, &mut self.event_loop) else { return };
         for update in updates {
-            self.take_registry_update(update);
+            self.apply_registry_update(update);
         }
         self.announce_endpoints(MAX_ANNOUNCEMENTS_PER_TURN);
         if let Some(next) = self.discovery.schedule_registry() {
@@ -208,7 +212,7 @@
         }
     }
 
-    fn take_registry_update(&mut self, update: Update) {
+    fn apply_registry_update(&mut self, update: Update) {
         let (now, membership) = (self.now, &mut self.discovery.membership);
         match update {
             Update::Removed(id) => membership.remove(now, &id),
@@ -217,46 +221,46 @@
                 let (settings, timestamps) = (&self.settings, &mut self.timestamps);
                 let entry = entry_of_registry(now, id, &endpoint, process, started, settings, timestamps);
                 if let Err(error) = membership.upsert(now, entry) {
-                    warn!(self.log, "endpoint not taken"; "reason" => %error);
+                    warn!(self.log, "endpoint rejected"; "reason" => %error);
                 }
             }
         }
     }
 
-    /// Takes new settings of the registry.
+    /// Applies reloaded settings of the registry.
     pub(super) fn reconfigure_registry(&mut self, settings: Option<&Registry>) {
         let (Some(registry), Some(new)) = (&mut self.discovery.registry, settings) else {
             if self.discovery.has_registry() || settings.is_some() {
-                warn!(self.log, "takes a restart to change"; "what" => "whether there is a registry");
+                warn!(self.log, "setting change requires a restart"; "what" => "whether there is a registry");
             }
             return;
         };
         if !registry.reconfigure(self.now, new) {
-            warn!(self.log, "takes a restart to change"; "what" => "prefix, snapshot or bounds of the registry");
+            warn!(self.log, "setting change requires a restart"; "what" => "prefix, snapshot or bounds of the registry");
         }
-        info!(self.log, "settings read again"; "endpoints" => ?new.endpoints);
+        info!(self.log, "registry settings reloaded"; "endpoints" => ?new.endpoints);
         self.run_registry();
     }
 
-    /// Takes the endpoints that the command channel lists; `is_complete`: there are no others.
+    /// Applies endpoint records of the command channel; with `is_complete` all other endpoints are removed.
     pub(super) fn take_endpoints(&mut self, is_complete: bool, records: Vec<Record>) {
         let now = self.now;
         let (settings, timestamps) = (&self.settings, &mut self.timestamps);
         let entry = |record| self.discovery.entry_of_record(now, record, settings, timestamps);
         let entries: Vec<Entry> = records.into_iter().map(entry).collect();
         let membership = &mut self.discovery.membership;
-        let taken = if is_complete {
+        let applied = if is_complete {
             membership.replace_all(now, entries)
         } else {
             entries.into_iter().try_for_each(|entry| membership.upsert(now, entry))
         };
-        if let Err(error) = taken {
-            warn!(self.log, "endpoint list not taken"; "reason" => %error);
+        if let Err(error) = applied {
+            warn!(self.log, "endpoint list rejected"; "reason" => %error);
         }
         self.announce_endpoints(usize::MAX);
     }
 
-    /// Carries up to `limit` changes of the list on to the pool and the router.
+    /// Passes up to `limit` changes of the list to the pool and the router.
     pub(super) fn announce_endpoints(&mut self, limit: usize) {
         let mut changes = Vec::new();
         self.discovery.membership.take_changes(limit, &mut changes);
@@ -280,7 +284,7 @@
         }
         self.fleet_endpoints_changed(&endpoints);
         self.events.push_back(Event::Endpoints { complete: false, endpoints });
-        // The lifecycle refuses it in a phase in which the list makes no difference.
+        // The lifecycle refuses this event in phases to which the list makes no difference.
         let _ = self.advance_lifecycle(lifecycle::Event::EndpointsListed(self.pool.has_endpoints()));
     }
 }
--- a/src/proxy/fleet.rs
+++ b/src/proxy/fleet.rs
@@ -92,7 +92,7 @@
         if let (Some(rebalancer), Some(new)) = (&mut self.rebalancer, &product.shards) {
             if !rebalancer.reconfigure(new, &product.calendar) {
                 let what = "endpoints, prefix, lease or snapshot of shards()";
-                warn!(log, "takes a restart to change"; "what" => what);
+                warn!(log, "setting change requires a restart"; "what" => what);
             }
         }
     }
@@ -208,14 +208,14 @@
         let failover = fleet.is_some_and(|fleet| fleet.failover.is_some());
         let shards = fleet.is_some_and(|fleet| fleet.rebalancer.is_some());
         if (failover, shards) != (product.site_plan.is_some(), product.shards.is_some()) {
-            warn!(self.log, "takes a restart to change"; "what" => "whether site_plan() and shards() are set");
+            warn!(self.log, "setting change requires a restart"; "what" => "whether site_plan() and shards() are set");
         }
         let same_purge_log = match (self.purge_log(), &product.purge_log) {
             (Some(purge_log), Some(new)) => purge_log.has_settings(new),
             (old, new) => old.is_none() && new.is_none(),
         };
         if !same_purge_log {
-            warn!(self.log, "takes a restart to change"; "what" => "purge_log()");
+            warn!(self.log, "setting change requires a restart"; "what" => "purge_log()");
         }
         if let Err(error) = product.calendar.check(&self.settings.failure_domains) {
             return warn!(self.log, "quiet hours of the shards not changed"; "error" => %error);
--- a/src/proxy/upstreams.rs
+++ b/src/proxy/upstreams.rs
@@ -1,6 +1,8 @@
-//! Connections to upstreams: dialed, read, and closed; what they bring becomes results of attempts.
+//! Upstream connections: dialing, reading and closing them, and turning responses and failures into results
+//! of attempts.
 //!
-//! The pool ([`crate::net::pool`]) holds the connections and chooses among them, [`super::attempts`] writes to them.
+//! The pool ([`crate::net::pool`]) owns the connections and selects among them; [`super::attempts`] writes to
+//! them.
 
 use super::message_buffer::MessageBuffer;
 use super::requests::AttemptResult;
@@ -18,11 +20,12 @@
 use slog::{debug, warn};
 use std::net::SocketAddr;
 
-/// Upstreams write a response in one go: one that has not gone on for so long will not be completed.
+/// Time after which a partly received response is given up, in microseconds. Upstreams write a response at
+/// once, so that one which makes no progress for this long will not be completed.
 pub(super) const RESPONSE_STALL_TIMEOUT: Micros = 300 * MILLISECOND;
 
 impl Proxy {
-    /// Dials an endpoint; the connection is in the pool from then on.
+    /// Dials an endpoint and adds the connection to the pool. Returns `None` if the dial failed at once.
     pub(super) fn dial(&mut self, endpoint: &Id, address: SocketAddr) -> Option<Token> {
         self.metrics.dials += 1;
         let mut dial = self.event_loop.connect(address);
@@ -45,7 +48,7 @@
         }
     }
 
-    /// A dial has used up its time.
+    /// Closes a connection whose dial has timed out.
     pub(super) fn dial_timed_out(&mut self, token: Token) {
         let Some(upstream) = self.pool.get_mut(token) else { return };
         if upstream.conn.state() != State::Dialing {
@@ -53,14 +56,14 @@
         }
         let endpoint = upstream.endpoint.clone();
         self.close_upstream(token);
-        // A machine that vanished leaves its connections open and silent. Nobody answers a dial there either, so
-        // they are closed, or what is out on them would wait for all of its time.
+        // A host that has disappeared leaves its connections open and silent, and dials to it time out too.
+        // The silent connections are closed, since their attempts would otherwise wait until their deadlines.
         for silent in self.pool.unresponsive(&endpoint, self.now) {
             self.close_upstream(silent);
         }
     }
 
-    /// An upstream connection is ready.
+    /// Handles readiness of an upstream connection.
     pub(super) fn upstream_ready(&mut self, event: Ready) {
         let token = event.token;
         let Some(upstream) = self.pool.get_mut(token) else { return };
@@ -79,7 +82,7 @@
             self.upstream_opened(token);
         }
         for response in received.messages {
-            if let Err(error) = self.upstream_response(token, response) {
+            if let Err(error) = self.handle_response(token, response) {
                 received.error = Some(error);
                 break;
             }
@@ -93,7 +96,7 @@
         self.after_upstream_read(token);
     }
 
-    /// A dial has come through: what waited for it is written.
+    /// Writes the attempts that waited for a dial that has completed.
     fn upstream_opened(&mut self, token: Token) {
         let Some(upstream) = self.pool.get_mut(token) else { return };
         let endpoint = upstream.endpoint.clone();
@@ -105,7 +108,8 @@
         }
     }
 
-    /// Closes a connection that ended, or sees to it that the rest of what it has brought is read or missed.
+    /// After a read, closes a connection that has ended, schedules another read, or sets the timer for a
+    /// partly received response.
     fn after_upstream_read(&mut self, token: Token) {
         let Some(upstream) = self.pool.get_mut(token) else { return };
         if !matches!(upstream.conn.state(), State::Open | State::Dialing) {
@@ -117,8 +121,8 @@
         }
     }
 
-    /// Closes a connection on which a response stopped short. Nothing more will come there, and each of the requests
-    /// that are out on it would wait for all of its time.
+    /// Closes a connection on which a response has stalled. No further response can arrive on it, and its
+    /// attempts would otherwise wait until their deadlines.
     pub(super) fn response_stalled(&mut self, token: Token) {
         let Some(upstream) = self.pool.get_mut(token) else { return };
         let idle = self.now.saturating_sub(upstream.conn.last_received);
@@ -129,11 +133,11 @@
         }
     }
 
-    /// Takes one response, and answers the client with it where it is final.
+    /// Handles one response, and answers the client if it is final.
     ///
     /// # Errors
     /// The response can't belong to the request that it names; the connection is to be closed.
-    pub(super) fn upstream_response(
+    pub(super) fn handle_response(
         &mut self,
         token: Token,
         response: UpstreamResponse,
@@ -144,21 +148,22 @@
             return Ok(());
         };
         let id = id.clone();
-        let names_copy =
+        let has_copy =
             |id: &Id| self.requests.get(id).is_some_and(|active| active.request.if_none_match.is_some());
-        if response.status == UpstreamStatus::NotModified && !names_copy(&id) {
-            // The attempt is still out on the connection, and ends with it.
+        if response.status == UpstreamStatus::NotModified && !has_copy(&id) {
+            // The attempt stays in flight and ends when the connection is closed.
             return Err(Malformed::UnrequestedNotModified);
         }
         upstream.in_flight.remove(&id);
         upstream.note_received(self.now);
-        let is_out = self
+        let is_current = self
             .requests
             .attempt(&id)
             .is_some_and(|attempt| attempt.number == number && attempt.connection == token);
-        invariant!(is_out, "what is out on a connection is the attempt of an open request");
+        invariant!(is_current, "an attempt in flight on a connection belongs to an active request");
         if let Some(active) = self.requests.get_mut(&id) {
-            // A second response to this attempt must not be taken for one to the next: they bear one name.
+            // A second response to this attempt must not be taken for the response to a later attempt on this
+            // connection, since both carry the same request id.
             active.used_connections.push(token);
         }
         let cache_status = cache_status(response.field("note"));
@@ -168,7 +173,7 @@
         Ok(())
     }
 
-    /// Answers the client where a response is final; what it means for the attempt.
+    /// Answers the client if the response is final, and returns the status of the attempt.
     fn forward_response(&mut self, id: &Id, response: UpstreamResponse) -> AttemptStatus {
         match response.status {
             UpstreamStatus::Ok => {
@@ -187,17 +192,18 @@
         }
     }
 
-    /// An endpoint that could not be reached answers again: a new process, started by that moment at the latest.
+    /// Marks an endpoint that was unreachable and has accepted a connection again as restarted: its process
+    /// is new and was started at `started_by` at the latest.
     fn endpoint_restarted(&mut self, endpoint: &Id, started_by: Micros) {
         debug!(self.log, "endpoint reachable again"; "endpoint" => %endpoint, "started_by" => started_by);
         self.discovery.membership.mark_restarted(self.now, endpoint, started_by);
         self.announce_endpoints(usize::MAX);
     }
 
-    /// Closes a connection and finishes the attempts on it.
+    /// Closes a connection and finishes the attempts that wait for it or are in flight on it.
     pub(super) fn close_upstream(&mut self, token: Token) {
         let Some(mut upstream) = self.pool.remove(token) else { return };
-        self.note_upstream_end(&upstream);
+        self.record_upstream_end(&upstream);
         upstream.conn.close();
         for id in upstream.waiting {
             self.finish_attempt(&id, AttemptStatus::ConnectFailed.into());
@@ -205,15 +211,15 @@
         for (id, number) in upstream.in_flight {
             let attempt = self.requests.attempt(&id).filter(|attempt| attempt.number == number);
             let Some(end_offset) = attempt.and_then(|attempt| attempt.end_offset) else { continue };
-            // Only a command that was not wholly written can't have run.
+            // Only a command that was not written completely can't have been executed.
             let was_written = upstream.conn.written() >= end_offset;
             let status = if was_written { AttemptStatus::Reset } else { AttemptStatus::ConnectFailed };
             self.finish_attempt(&id, status.into());
         }
     }
 
-    /// Learns from the way in which a connection ended.
-    fn note_upstream_end(&mut self, upstream: &UpstreamConnection) {
+    /// Updates metrics and the pool's estimates from how a connection ended.
+    fn record_upstream_end(&mut self, upstream: &UpstreamConnection) {
         match upstream.conn.state() {
             State::Dialing | State::Closed(Closed::NeverOpened) => {
                 self.metrics.failed_dials += 1;
@@ -242,7 +248,7 @@
     }
 }
 
-/// A load report as in `inflight:7;util:0.61`; what it does not name is negative.
+/// Parses a load report such as `inflight:7;util:0.61`; values that are missing become negative.
 fn load_report(text: &str) -> LoadReport {
     let value = |name: &str| {
         let pair = text.split(';').filter_map(|part| part.split_once(':')).find(|pair| pair.0 == name);
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -82,7 +82,7 @@
         self.advance_clock(now);
         self.request_watch(actions);
         match event {
-            Event::Endpoints { complete, endpoints } => self.apply_endpoints(complete, endpoints),
+            Event::Endpoints { complete, endpoints } => self.take_endpoints(complete, endpoints),
             Event::Settings(settings) => self.apply_settings(*settings),
             Event::WatchFailed => self.watching = false,
             Event::Constraints(constraints) => self.apply_constraints(constraints),
@@ -117,7 +117,7 @@
         }
     }
 
-    fn apply_endpoints(&mut self, complete: bool, endpoints: Vec<Endpoint>) {
+    fn take_endpoints(&mut self, complete: bool, endpoints: Vec<Endpoint>) {
         let referenced = self.pending.values().flat_map(PendingRequest::referenced_endpoints).collect();
         self.endpoints.apply_update(self.now, complete, endpoints, &referenced);
         self.refresh_eligible_endpoints();
--- a/tests/discovery_down.rs
+++ b/tests/discovery_down.rs
@@ -305,7 +305,7 @@
             !log.contains("accept failed") && !log.contains("command channel dial failed"),
             "{what}: {log}"
         );
-        assert!(log.contains("configuration read again"), "{what}: {log}");
+        assert!(log.contains("configuration reloaded"), "{what}: {log}");
         assert!(!log.contains("no descriptor was free"), "{what}: {log}");
     }
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -256,7 +256,7 @@
     }
     assert!(line.contains("can't be read yet"), "{line}");
     limit(256);
-    program.logs("configuration read again");
+    program.logs("configuration reloaded");
     heard(&second);
 }
 
@@ -280,7 +280,7 @@
     let mut awaits = |what: &str| assert!(log.any(|l| l.unwrap().contains(what)), "never logged: {what}");
     awaits("listening");
     std::fs::write(&path, &text).unwrap();
-    awaits("configuration read again");
+    awaits("configuration reloaded");
     assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -418,7 +418,7 @@
     let moved = w.registry.addresses[1..].iter().fold(moved, |s, a| s.replace(&format!(", \"{a}\""), ""));
     std::fs::write(&script, &moved).unwrap();
     hup(&w);
-    w.logs("settings read again");
+    w.logs("registry settings reloaded");
     let line = w.logs("list taken");
     assert!(line.contains("keys: 1,"), "{line}");
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -346,7 +346,7 @@
     let places = |text: &str| -> Vec<usize> {
         lines.iter().enumerate().filter(|l| l.1.contains(text)).map(|l| l.0).collect()
     };
-    let (read, end) = (places("configuration read again"), places("shutdown requested"));
+    let (read, end) = (places("configuration reloaded"), places("shutdown requested"));
     assert!(read.len() == 1 && end.len() == 1 && read < end, "{lines:?}");
 }
 
