--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -243,7 +243,7 @@
     }
 
     /// Applies endpoint records of the command channel; with `is_complete` all other endpoints are removed.
-    pub(super) fn take_endpoints(&mut self, is_complete: bool, records: Vec<Record>) {
+    pub(super) fn apply_endpoints(&mut self, is_complete: bool, records: Vec<Record>) {
         let now = self.now;
         let (settings, timestamps) = (&self.settings, &mut self.timestamps);
         let entry = |record| self.discovery.entry_of_record(now, record, settings, timestamps);
--- a/src/proxy/tests/upstreams.rs
+++ b/src/proxy/tests/upstreams.rs
@@ -132,7 +132,7 @@
         weight: 30.0,
         started_ms: 0,
     };
-    w.proxy.take_endpoints(false, vec![record.clone()]);
+    w.proxy.apply_endpoints(false, vec![record.clone()]);
     w.proxy.settle();
     assert_eq!(w.proxy.pool.len(), 1, "the same news again changes nothing");
     // Old enough to have its whole part of what a cold endpoint bears.
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -55,7 +55,7 @@
             weight: 30.0,
             started_ms,
         };
-        w.proxy.take_endpoints(false, vec![record]);
+        w.proxy.apply_endpoints(false, vec![record]);
         w.proxy.settle();
     };
     let told_ms = unix_ms() + 3_000;
