--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -460,7 +460,7 @@
         for message in messages {
             self.handle_message(token, message);
             // Each message is handled after the router has handled the one before it.
-            self.settle();
+            self.process_events();
         }
         self.after_client_write(token);
     }
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -80,7 +80,7 @@
         }
         if let Some(command) = command {
             self.execute(command);
-            self.settle();
+            self.process_events();
         }
         true
     }
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -84,7 +84,7 @@
             // What came since the last turn is still served.
             for token in self.clients.tokens() {
                 self.read_client(token);
-                self.settle();
+                self.process_events();
             }
             if self.is_drained() {
                 break;
@@ -95,7 +95,7 @@
         for token in self.clients.tokens() {
             self.finish_client(token);
         }
-        self.settle();
+        self.process_events();
         let until = self.lifecycle.closed_by(self.now);
         self.timers.set(until, TimerEvent::DrainDeadline);
         while !self.clients.is_empty() && self.now < until {
--- a/src/proxy/fleet.rs
+++ b/src/proxy/fleet.rs
@@ -307,7 +307,7 @@
     pub(super) fn judge_purge_log(&mut self) {
         if self.purge_log().is_some_and(|log| log.is_judgement_due(self.now)) {
             self.purge_log_turn();
-            self.settle();
+            self.process_events();
         }
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -186,7 +186,7 @@
         }
         if std::mem::take(&mut self.discovery.has_more) {
             self.run_registry();
-            self.settle();
+            self.process_events();
         }
     }
 
@@ -195,7 +195,7 @@
         while let Some((due_at, timer)) = self.timers.due(moment) {
             self.metrics.max_timer_delay = self.metrics.max_timer_delay.max(self.now - due_at);
             self.handle_timer(timer);
-            self.settle();
+            self.process_events();
         }
     }
 
@@ -234,7 +234,7 @@
         } else if !(self.gossip_ready(event.token) || self.fleet_ready(event)) {
             self.upstream_ready(event);
         }
-        self.settle();
+        self.process_events();
     }
 
     fn handle_signals(&mut self) {
@@ -274,7 +274,7 @@
     }
 
     /// Passes the queued events to the router and performs its actions, until no event is left.
-    fn settle(&mut self) {
+    fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let event = self.requests.refresh(event);
             if let Some(observer) = &mut self.event_observer {
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -140,7 +140,7 @@
         }
         proxy.discovery.note_started();
         proxy.run_registry();
-        proxy.settle();
+        proxy.process_events();
         for timer in [TimerEvent::Sweep, TimerEvent::MetricsReport] {
             proxy.timers.set(proxy.now, timer);
         }
--- a/src/proxy/tests.rs
+++ b/src/proxy/tests.rs
@@ -204,7 +204,7 @@
         change(&mut entry);
         d.discovery.membership.upsert(d.now, entry).unwrap();
         d.announce_endpoints(usize::MAX);
-        d.settle();
+        d.process_events();
     }
 
     fn client(&mut self) -> Peer {
--- a/src/proxy/tests/configuration.rs
+++ b/src/proxy/tests/configuration.rs
@@ -10,7 +10,7 @@
         self.proxy.configuration.path = path.clone();
         let [taken, turned_down] = self.proxy.admin_metrics.reloads;
         self.proxy.reload();
-        self.proxy.settle();
+        self.proxy.process_events();
         std::fs::remove_file(path).unwrap();
         let now = self.proxy.admin_metrics.reloads;
         assert_eq!(now[0] + now[1], taken + turned_down + 1, "each file is counted once");
--- a/src/proxy/tests/draining.rs
+++ b/src/proxy/tests/draining.rs
@@ -50,7 +50,7 @@
     w.until("the request", |d| (!d.requests.by_id.is_empty()).then_some(()));
     w.proxy.shut_down();
     w.proxy.fail_open_requests();
-    w.proxy.settle();
+    w.proxy.process_events();
     assert_eq!(w.frame(&mut client).0, 3);
     assert_eq!(w.frame(&mut client), (8, 1, vec![51, 0]));
 }
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -94,7 +94,7 @@
     assert!(found.is_some());
     new.proxy.takeover = Some(Takeover::new(files(), found, false, &mut new.proxy.event_loop));
     new.proxy.inherit_state();
-    new.proxy.settle();
+    new.proxy.process_events();
     let told = new.events.all().iter().any(
         |e| matches!(e, Event::Purged { object: None, purge_group: 17, age } if (2_900 * MILLISECOND..60_000 * MILLISECOND).contains(age)),
     );
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -490,7 +490,7 @@
             }),
             Step::Purge => {
                 self.w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
-                self.w.proxy.settle();
+                self.w.proxy.process_events();
             }
             Step::List { healthy } if self.w.proxy.discovery.membership.entry(CACHE).is_some() => {
                 self.w.relist(|e| {
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -147,7 +147,7 @@
     w.until("the dial", |d| (d.pool.len() == 1).then_some(()));
     w.proxy.shut_down();
     w.proxy.fail_open_requests();
-    w.proxy.settle();
+    w.proxy.process_events();
     let mut origin = w.accept(|w| &w.origin);
     assert_eq!(w.frame(&mut client).0, 3);
     assert_eq!(w.frame(&mut client), (8, 1, vec![51, 0]));
@@ -182,7 +182,7 @@
     client.put(&request(2, 2, "clip"));
     w.brought();
     w.proxy.sweep();
-    w.proxy.settle();
+    w.proxy.process_events();
     assert_eq!(w.command(&mut cache)[1], trace(2));
     cache.put(&answer(&trace(2), "ok", "-", "y"));
     assert_eq!(w.frame(&mut client), (8, 2, b"\x14\x00y".to_vec()));
@@ -499,7 +499,7 @@
         client.put(&bytes[begun..]);
         w.brought();
         makes_room(&mut w);
-        w.proxy.settle();
+        w.proxy.process_events();
         let mut cache = w.cache();
         assert_eq!(w.command(&mut cache)[1], trace(1), "{what}");
         cache.put(&answer(&trace(1), "ok", "-", "x"));
--- a/src/proxy/tests/upstreams.rs
+++ b/src/proxy/tests/upstreams.rs
@@ -75,7 +75,7 @@
     let dialing = |l: &UpstreamConnection| l.conn.state() == State::Dialing;
     let token = *w.proxy.pool.iter().find(|l| dialing(l.1)).unwrap().0;
     w.proxy.dial_timed_out(token);
-    w.proxy.settle();
+    w.proxy.process_events();
     let codes = w.codes();
     assert!(
         codes.contains(&(AttemptStatus::ConnectFailed, false))
@@ -133,7 +133,7 @@
         started_ms: 0,
     };
     w.proxy.apply_endpoints(false, vec![record.clone()]);
-    w.proxy.settle();
+    w.proxy.process_events();
     assert_eq!(w.proxy.pool.len(), 1, "the same news again changes nothing");
     // Old enough to have its whole part of what a cold endpoint bears.
     w.skip(2_000 * MILLISECOND);
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -56,7 +56,7 @@
             started_ms,
         };
         w.proxy.apply_endpoints(false, vec![record]);
-        w.proxy.settle();
+        w.proxy.process_events();
     };
     let told_ms = unix_ms() + 3_000;
     w.skip(3_000 * MILLISECOND);
@@ -78,7 +78,7 @@
     for error_ms in [-HOUR_MS, 0, HOUR_MS] {
         let mut w = off_by(error_ms, |_| {});
         w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
-        w.proxy.settle();
+        w.proxy.process_events();
         w.skip(600 * MILLISECOND);
         let mut client = w.client();
         client.put(&request(1, 1, "page"));
--- a/src/proxy/upstreams.rs
+++ b/src/proxy/upstreams.rs
@@ -86,7 +86,7 @@
                 received.error = Some(error);
                 break;
             }
-            self.settle();
+            self.process_events();
         }
         if let Some(error) = received.error {
             self.metrics.upstream_protocol_errors += 1;
