--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -102,7 +102,10 @@
         let serves = |id: &str| self.discovery.membership.accepts_requests(id);
         let can_fetch = attempt.fetch.as_ref().is_none_or(|fetch| serves(&fetch.source));
         let is_purged = self.purges.has_since(attempt.started_at, &active.request)
-            || self.purge_log().and_then(|log| log.tightened()).is_some_and(|at| at >= attempt.started_at);
+            || self
+                .purge_log()
+                .and_then(|log| log.bound_tightened_at())
+                .is_some_and(|at| at >= attempt.started_at);
         serves(&attempt.endpoint) && can_fetch && !is_purged && self.now < active.retry_deadline
     }
 
--- a/src/proxy/fleet.rs
+++ b/src/proxy/fleet.rs
@@ -1,6 +1,6 @@
-//! What this instance does together with the others of the fleet: the owner of site failover, of the shards and of the
-//! purge log, and of the turns that they take. It keeps the list of endpoints for them, puts what they ask of the router
-//! into one set of constraints, and writes this instance's note for its peers.
+//! Cooperation of this instance with the rest of the fleet. `Fleet` owns site failover, the shards and the
+//! purge log, and schedules their turns. It keeps the endpoint list for them, merges what they require of the
+//! router into one set of constraints, and writes this instance's note to its peers.
 
 use super::failover::{EndedAttempt, SiteFailover};
 use super::fleet_context::{Endpoints, FleetContext, PeerView, SiteView};
@@ -19,33 +19,33 @@
 use std::sync::Arc;
 
 const MICROS_PER_S: f64 = 1e6;
-/// Longest time between two turns: notes of peers are read at each.
+/// Maximum time between two turns, in microseconds; each turn reads the notes of the peers.
 const LONGEST_TURN_INTERVAL: Micros = 250 * MILLISECOND;
-/// An unchanged note is written anew after so long, with the clock as it then is.
+/// Time after which an unchanged note is written again with the current clock value, in microseconds.
 const NOTE_INTERVAL: Micros = 1_000 * MILLISECOND;
 
-/// The note that was written last, without its clock.
+/// Last note written, without its clock value.
 struct WrittenNote {
     note: SiteReport,
     at: Micros,
 }
 
-/// What a turn asks of the rest of the instance.
+/// Results of a turn for the rest of the instance.
 struct TurnOutput {
-    /// New constraints for the router.
+    /// New constraints for the router, if they have changed.
     constraints: Option<Arc<Constraints>>,
-    /// A new note for the peers, encoded.
+    /// Encoded note for the peers, if one is due.
     note: Option<Vec<u8>>,
 }
 
-/// What this instance does together with the others.
+/// Fleet-wide functions of this instance.
 #[derive(Default)]
 pub(super) struct Fleet {
     endpoints: Endpoints,
     failover: Option<SiteFailover>,
     rebalancer: Option<Box<ShardRebalancer>>,
     purge_log: Option<Box<PurgeLogFollower>>,
-    /// As the router was last told.
+    /// Constraints that the router was last given.
     constraints: Arc<Constraints>,
     next_turn: Option<Micros>,
     written_note: Option<WrittenNote>,
@@ -56,7 +56,7 @@
         self.failover.is_none() && self.rebalancer.is_none() && self.purge_log.is_none()
     }
 
-    /// Names and values for the admin server.
+    /// Returns names and values for the admin endpoint.
     pub fn metrics(&self, now: Micros) -> Vec<(&'static str, u64)> {
         let mut metrics = Vec::new();
         if let Some(failover) = &self.failover {
@@ -71,7 +71,7 @@
         metrics
     }
 
-    /// Takes the changes of the list.
+    /// Applies changes of the endpoint list.
     fn endpoints_changed(&mut self, now: Micros, changed: &[Endpoint]) {
         for endpoint in changed {
             match endpoint.state {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Takes over new settings, all but those that take a restart: whether a part is on, and where its registry is.
+    /// Applies new settings, except those that require a restart: whether a part is enabled, and where its
+    /// registry is.
     fn reconfigure(&mut self, product: &Product, document: &Document, now: Micros, log: &Logger) {
         if let (Some(failover), Some(new)) = (&mut self.failover, &product.site_plan) {
             failover.reconfigure(new, document, now);
@@ -97,25 +98,27 @@
         }
     }
 
-    fn drive_registry(&mut self, now: Micros, event_loop: &mut EventLoop) {
+    fn run_registry_driver(&mut self, now: Micros, event_loop: &mut EventLoop) {
         if let Some(rebalancer) = &mut self.rebalancer {
-            rebalancer.drive_registry(now, event_loop);
+            rebalancer.run_registry_driver(now, event_loop);
         }
     }
 
-    /// One turn of failover and shards.
+    /// Runs one turn of site failover and of the shards.
     fn turn(&mut self, context: &FleetContext) -> TurnOutput {
         let endpoints = &self.endpoints;
-        let judged = self.failover.as_mut().is_some_and(|failover| failover.turn(context, endpoints));
+        let failover_changed =
+            self.failover.as_mut().is_some_and(|failover| failover.turn(context, endpoints));
         let states = self.failover.as_ref().map_or(Vec::new(), SiteFailover::site_states);
         let sites = SiteView { endpoints, states: &states };
-        let reassigned = self.rebalancer.as_mut().is_some_and(|shards| shards.turn(context, &sites));
-        let constraints = if judged || reassigned { self.changed_constraints(context) } else { None };
+        let shards_changed = self.rebalancer.as_mut().is_some_and(|shards| shards.turn(context, &sites));
+        let constraints =
+            if failover_changed || shards_changed { self.changed_constraints(context) } else { None };
         self.check_loss(context);
         TurnOutput { constraints, note: self.due_note(context) }
     }
 
-    /// What failover and shards ask of the router, where that has changed.
+    /// Returns the constraints from site failover and the shards, if they have changed.
     fn changed_constraints(&mut self, context: &FleetContext) -> Option<Arc<Constraints>> {
         let failover = self.failover.as_ref();
         let mut constraints = failover.map_or_else(Constraints::default, |f| f.constraints(context));
@@ -131,14 +134,14 @@
         Some(self.constraints.clone())
     }
 
-    /// Checks one site's loss against the forecast of growth, where this instance is the planner and has one.
+    /// Checks whether the loss of one site fits the growth forecast. Only the planner has such a forecast.
     fn check_loss(&mut self, context: &FleetContext) {
         let (Some(failover), Some(rebalancer)) = (&mut self.failover, &self.rebalancer) else { return };
         let growth_factors = rebalancer.growth_factors(failover.check_week(), failover.zone_count());
         failover.check_loss(context, growth_factors);
     }
 
-    /// This instance's note, where it has changed or was last written a while ago.
+    /// Returns this instance's encoded note if it has changed or [`NOTE_INTERVAL`] has passed.
     fn due_note(&mut self, context: &FleetContext) -> Option<Vec<u8>> {
         if context.peers.configured == 0 {
             return None;
@@ -160,7 +163,7 @@
         Some(encoded)
     }
 
-    /// When the next turn is due.
+    /// Returns when the next turn is due.
     fn next_due(&self, now: Micros) -> Micros {
         if self.failover.as_ref().is_some_and(SiteFailover::is_planning) {
             return now;
@@ -173,10 +176,10 @@
 }
 
 impl Proxy {
-    /// Begins what the product's settings ask of the fleet.
+    /// Starts the parts that the product's settings enable.
     ///
     /// # Errors
-    /// The calendar names a zone that the settings do not have.
+    /// The calendar names a zone that is not configured.
     pub(super) fn start_fleet(&mut self, product: &Product, seed: u64) -> Result<(), PlacementError> {
         product.calendar.check(&self.settings.failure_domains)?;
         let peers = PeerView::default();
@@ -196,13 +199,14 @@
         let fleet = Fleet { failover, rebalancer, purge_log, ..Fleet::default() };
         if !fleet.is_empty() {
             self.fleet = Some(Box::new(fleet));
-            // Until the log has been read nothing is vouched for, from the first request on.
+            // Runs the first turn now, so that the staleness bound applies from the first request on: until
+            // the log has been read, purges may be missing.
             self.purge_log_turn();
         }
         Ok(())
     }
 
-    /// Takes over new settings.
+    /// Applies reloaded settings, and logs which changes require a restart.
     pub(super) fn reload_fleet(&mut self, product: &Product) {
         let fleet = self.fleet.as_deref();
         let failover = fleet.is_some_and(|fleet| fleet.failover.is_some());
@@ -225,26 +229,27 @@
         self.schedule_fleet_turn(self.now);
     }
 
-    /// The list has changed.
+    /// Passes changes of the endpoint list to the fleet's parts.
     pub(super) fn fleet_endpoints_changed(&mut self, changed: &[Endpoint]) {
         let Some(fleet) = &mut self.fleet else { return };
         fleet.endpoints_changed(self.now, changed);
         self.schedule_fleet_turn(self.now);
     }
 
-    /// An attempt of a request has ended: it tells of sites, and what was served of a shard is counted.
+    /// Records an attempt that has ended: with the failure detector, and for an object that was served in the
+    /// counts of its shard.
     pub(super) fn fleet_attempt_ended(&mut self, request: &Id, attempt: &EndedAttempt) {
         let Some(fleet) = self.fleet.as_deref_mut() else { return };
-        let open = self.requests.get(request).filter(|_| attempt.status == AttemptStatus::Served);
-        if let (Some(rebalancer), Some(open)) = (&mut fleet.rebalancer, open) {
+        let active = self.requests.get(request).filter(|_| attempt.status == AttemptStatus::Served);
+        if let (Some(rebalancer), Some(active)) = (&mut fleet.rebalancer, active) {
             let transfer_kb_per_s = self.settings.domain.flow_kb_per_s.max(1.0);
             rebalancer.count_served(&ServedRequest {
-                object: open.request.object.1,
-                part: open.request.chunk,
-                kb: open.request.size_kb,
-                work_us: open.request.size_kb / transfer_kb_per_s * MICROS_PER_S,
+                object: active.request.object.1,
+                part: active.request.chunk,
+                kb: active.request.size_kb,
+                work_us: active.request.size_kb / transfer_kb_per_s * MICROS_PER_S,
                 newly_filled: matches!(attempt.cache_status, CacheStatus::Filled),
-                is_write: !open.request.body.is_empty(),
+                is_write: !active.request.body.is_empty(),
             });
         }
         if let Some(failover) = &mut fleet.failover {
@@ -254,8 +259,8 @@
         }
     }
 
-    /// Takes what became ready, if it is a part's; what the purge log says is in force before anything else of this turn
-    /// is taken.
+    /// Handles readiness of the connections of the shards and of the purge log; returns whether the event was
+    /// for one of them. New purges are in force before any later event of this turn is handled.
     pub(super) fn fleet_ready(&mut self, event: Ready) -> bool {
         let Some(fleet) = self.fleet.as_deref_mut() else { return false };
         if let Some(rebalancer) = fleet.rebalancer.as_mut().filter(|r| r.token() == Some(event.token)) {
@@ -271,7 +276,7 @@
         true
     }
 
-    /// Asks for a turn at a moment, or at the usual one if that is earlier.
+    /// Schedules a turn at `at`, or after the maximum interval if that is earlier.
     pub(super) fn schedule_fleet_turn(&mut self, at: Micros) {
         let Some(fleet) = &mut self.fleet else { return };
         let at = at.clamp(self.now, self.now + LONGEST_TURN_INTERVAL);
@@ -281,7 +286,7 @@
         }
     }
 
-    /// The timer of a turn is due; one that an earlier turn has overtaken does nothing.
+    /// Runs a turn of the fleet when its timer is due; does nothing if an earlier timer has replaced it.
     pub(super) fn fleet_turn(&mut self, due: Micros) {
         if self.fleet.as_ref().is_none_or(|fleet| fleet.next_turn != Some(due)) {
             return;
@@ -290,9 +295,9 @@
         let Some(mut fleet) = self.fleet.take() else { return };
         fleet.next_turn = None;
         let peers = self.peer_view();
-        fleet.drive_registry(self.now, &mut self.event_loop);
+        fleet.run_registry_driver(self.now, &mut self.event_loop);
         let output = fleet.turn(&self.fleet_context(&peers));
-        fleet.drive_registry(self.now, &mut self.event_loop);
+        fleet.run_registry_driver(self.now, &mut self.event_loop);
         let next = fleet.next_due(self.now);
         self.fleet = Some(fleet);
         self.events.extend(output.constraints.map(Event::Constraints));
@@ -302,33 +307,33 @@
         self.schedule_fleet_turn(next);
     }
 
-    /// Has the purge log judge what it vouches for, where that is due. Its timer alone would come too late where the
-    /// process was stopped: requests that came meanwhile are decided before timers.
-    pub(super) fn judge_purge_log(&mut self) {
-        if self.purge_log().is_some_and(|log| log.is_judgement_due(self.now)) {
+    /// Runs a turn of the purge log if its staleness bound is due to change. Its timer alone would be too
+    /// late after the process was stopped, because requests that arrived meanwhile are handled before timers.
+    pub(super) fn reevaluate_purge_log(&mut self) {
+        if self.purge_log().is_some_and(|log| log.is_reevaluation_due(self.now)) {
             self.purge_log_turn();
             self.process_events();
         }
     }
 
-    /// Lets the purge log go on, does what it asks, and schedules its next turn.
+    /// Runs a turn of the purge log, performs its actions and schedules the next turn.
     fn purge_log_turn(&mut self) {
         let Some(mut purge_log) = self.fleet.as_mut().and_then(|fleet| fleet.purge_log.take()) else {
             return;
         };
-        purge_log.drive_registry(self.now, &mut self.event_loop);
+        purge_log.run_registry_driver(self.now, &mut self.event_loop);
         let actions = purge_log.turn(&self.fleet_context(&PeerView::default()));
         let next = purge_log.next_due().max(self.now + MILLISECOND);
         if let Some(fleet) = &mut self.fleet {
             fleet.purge_log = Some(purge_log);
         }
         for action in actions {
-            self.follow_purge_log(action);
+            self.execute_purge_log_action(action);
         }
         self.schedule_fleet_turn(next);
     }
 
-    /// The purge log, where there is one.
+    /// Returns the purge log if one is configured.
     pub(super) fn purge_log(&self) -> Option<&PurgeLogFollower> {
         self.fleet.as_ref().and_then(|fleet| fleet.purge_log.as_deref())
     }
--- a/src/proxy/fleet_context.rs
+++ b/src/proxy/fleet_context.rs
@@ -1,5 +1,5 @@
-//! What the parts of the fleet are given for one turn: the moment, the settings, the notes of the other instances and
-//! what is known of the endpoints and their sites. The owner of the parts (`fleet.rs`) makes it; they only read it.
+//! Inputs of the fleet's parts for one turn: the time, the settings, the notes of the other instances, and
+//! the state of the endpoints and their sites. `fleet.rs` creates them, and the parts only read them.
 
 use crate::config::settings::Document;
 use crate::failover::site_report::SiteReport;
@@ -9,44 +9,45 @@
 use rustc_hash::FxHashMap;
 use slog::Logger;
 
-/// All endpoints that are listed.
+/// All endpoints in the list, by id.
 pub(super) type Endpoints = FxHashMap<Id, Endpoint>;
 
-/// A peer's note as it was last received.
+/// Note of a peer as it was last received.
 pub(super) struct PeerNote {
     pub member: MemberId,
-    /// How long ago the peer wrote it or sent it anew, as its holders counted.
+    /// Time since the peer wrote or resent the note, in microseconds, as counted by the instances that passed
+    /// it on.
     pub age: Micros,
     pub note: SiteReport,
 }
 
-/// What this instance knows of its peers.
+/// Peers of this instance, as seen by gossip.
 #[derive(Default)]
 pub(super) struct PeerView {
-    /// How many instances the configuration names; 0 where instances do not talk to each other.
+    /// Number of configured instances; 0 if gossip is disabled.
     pub configured: usize,
     pub notes: Vec<PeerNote>,
-    /// How many are seen alive or suspect and have sent no note.
+    /// Number of peers that are alive or suspected and whose note is missing.
     pub without_note: usize,
-    /// Those that are dead or have left.
+    /// Peers that are dead or have left.
     pub departed: Vec<MemberId>,
 }
 
-/// What one turn of the fleet is given.
+/// Inputs of one turn of the fleet.
 pub(super) struct FleetContext<'a> {
     pub now: Micros,
-    /// The same moment in Unix milliseconds.
+    /// `now` in Unix milliseconds.
     pub unix_ms: u64,
     pub log: &'a Logger,
     pub instance_name: &'a str,
     pub settings: &'a Document,
     pub peers: &'a PeerView,
-    /// How many processes of this instance run: two during a takeover.
+    /// Number of running processes of this instance: two during a takeover.
     pub processes: u32,
 }
 
 impl FleetContext<'_> {
-    /// The name of a zone; empty for the origins' own, which has none.
+    /// Returns the name of a zone, or an empty string for the site of the origins, which has no name.
     pub fn zone_name(&self, zone: Zone) -> &str {
         self.settings.failure_domains.get(zone).map_or("", String::as_str)
     }
@@ -56,15 +57,15 @@
     }
 }
 
-/// The endpoints and the state of each site.
+/// Endpoints and site states of one turn.
 pub(super) struct SiteView<'a> {
     pub endpoints: &'a Endpoints,
-    /// By zone; empty where sites are not judged.
+    /// Site states by zone; empty if site failover is disabled.
     pub states: &'a [SiteState],
 }
 
 impl SiteView<'_> {
-    /// The state of a zone's site; one that is not judged counts as serving.
+    /// Returns the state of a zone's site; a site without a state counts as serving.
     pub fn state(&self, zone: Zone) -> SiteState {
         self.states.get(zone).copied().unwrap_or(SiteState::Serving)
     }
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -1,7 +1,8 @@
-//! Datagrams between instances: from the socket to the view (`crate::gossip`) and back, within a budget.
+//! Datagrams between instances: passes them between the socket and the gossip view (`crate::gossip`), within
+//! a send budget.
 //!
-//! The address that a datagram comes from tells its sender; one from any other address is counted and dropped. Nothing
-//! waits for a datagram, and none is repeated here.
+//! A datagram's source address identifies its sender; datagrams from other addresses are counted and dropped.
+//! Sending never blocks, and no datagram is resent here.
 
 use super::fleet_context::{PeerNote, PeerView};
 use super::timers::{TimerEvent, MILLISECOND};
@@ -21,66 +22,67 @@
 use std::io::{self, ErrorKind};
 
 const MICROS_PER_S: f64 = 1e6;
-/// Datagrams that may wait to be sent; beyond, the oldest is dropped: its updates are the least news.
+/// Maximum number of datagrams in the send queue. Beyond it the oldest is dropped, because its updates are
+/// the least recent.
 const MAX_QUEUED_DATAGRAMS: usize = 64;
-/// Datagrams received in one turn: more than a socket's buffer holds, so that nobody is judged before all that came is
-/// read.
+/// Maximum number of datagrams received in one turn. It exceeds the capacity of a socket's buffer, so that no
+/// peer is judged before all of its datagrams are read.
 const MAX_RECEIVED_PER_TURN: usize = 512;
-/// Part of a second for which the budget may be saved up.
-const SAVED_BUDGET_S: f64 = 0.25;
+/// Capacity of the send budget, in seconds of its rate.
+const BUDGET_BURST_S: f64 = 0.25;
 
-/// A token bucket: how many datagrams may be sent.
+/// Token bucket that limits the rate of sent datagrams.
 struct SendBudget {
     datagrams_per_s: f64,
     available: f64,
-    counted_at: Micros,
+    refilled_at: Micros,
 }
 
 impl SendBudget {
     fn new(datagrams_per_s: f64, now: Micros) -> Self {
-        let mut budget = SendBudget { datagrams_per_s, available: 0.0, counted_at: now };
+        let mut budget = SendBudget { datagrams_per_s, available: 0.0, refilled_at: now };
         budget.available = budget.capacity();
         budget
     }
 
     fn capacity(&self) -> f64 {
-        (self.datagrams_per_s * SAVED_BUDGET_S).max(1.0)
+        (self.datagrams_per_s * BUDGET_BURST_S).max(1.0)
     }
 
     fn refill(&mut self, now: Micros) {
-        let earned = self.datagrams_per_s * now.saturating_sub(self.counted_at) as f64 / MICROS_PER_S;
-        self.available = (self.available + earned).min(self.capacity());
-        self.counted_at = now;
+        let refilled = self.datagrams_per_s * now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_S;
+        self.available = (self.available + refilled).min(self.capacity());
+        self.refilled_at = now;
     }
 
-    /// When the next datagram may be sent.
+    /// Returns when the next datagram may be sent.
     fn next_send(&self) -> Micros {
         let missing = (1.0 - self.available).max(0.0);
-        self.counted_at + (missing / self.datagrams_per_s * MICROS_PER_S) as Micros + MILLISECOND
+        self.refilled_at + (missing / self.datagrams_per_s * MICROS_PER_S) as Micros + MILLISECOND
     }
 }
 
-/// A datagram that waits to be sent.
-struct Outgoing {
+/// A datagram in the send queue.
+struct QueuedDatagram {
     to: MemberId,
     bytes: Vec<u8>,
 }
 
-/// The socket with its token on the loop.
+/// The gossip socket and its token in the event loop.
 struct Socket {
     token: Token,
     socket: UdpSocket,
 }
 
-/// This instance's end of what instances tell each other.
+/// Gossip of this instance with its peers.
 pub(super) struct PeerGossip {
     peering: Peering,
     log: Logger,
     socket: Option<Socket>,
     gossip: Gossip,
-    queue: VecDeque<Outgoing>,
+    queue: VecDeque<QueuedDatagram>,
     budget: SendBudget,
-    /// The timer that is set.
+    /// Time of the timer that is set.
     next_tick: Option<Micros>,
     dropped: u64,
     from_unknown_addresses: u64,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// What the admin server reports.
+    /// Returns the values that the admin endpoint reports.
     pub fn figures(&self) -> PeerFigures {
         PeerFigures {
             by_state: self.gossip.by_state(),
@@ -112,13 +114,13 @@
         }
     }
 
-    /// What is known of the peers.
+    /// Returns the current view of the peers.
     fn view(&self, now: Micros) -> PeerView {
         let notes = self.readable_notes(now);
-        let is_silent = |member: MemberId| notes.iter().all(|note| note.member != member);
+        let has_no_note = |member: MemberId| notes.iter().all(|note| note.member != member);
         let peers = || self.gossip.view().filter(|peer| peer.member != self.peering.me);
-        let seen = peers().filter(|peer| peer.state < State::Dead);
-        let without_note = seen.filter(|peer| is_silent(peer.member)).count();
+        let reachable = peers().filter(|peer| peer.state < State::Dead);
+        let without_note = reachable.filter(|peer| has_no_note(peer.member)).count();
         let departed = self.gossip.view().filter(|peer| peer.state >= State::Dead);
         PeerView {
             configured: self.peering.members.len(),
@@ -132,7 +134,7 @@
         let read = |ReceivedNote { member, age, bytes }: ReceivedNote| match SiteReport::decode(bytes) {
             Ok(note) => Some(PeerNote { member, age, note }),
             Err(error) => {
-                debug!(self.log, "note of a peer not used"; "member" => member, "error" => %error);
+                debug!(self.log, "peer note rejected"; "member" => member, "error" => %error);
                 None
             }
         };
@@ -143,7 +145,8 @@
         self.socket.as_ref().is_some_and(|socket| socket.token == token)
     }
 
-    /// Binds the socket if there is none yet: until its end the predecessor may have the address.
+    /// Binds the socket if it is not bound yet. Until the predecessor process has ended, it may hold the
+    /// address.
     fn bind(&mut self, event_loop: &mut EventLoop) {
         if self.socket.is_some() {
             return;
@@ -154,27 +157,27 @@
         }
     }
 
-    /// Receives datagrams; whether there may be more.
+    /// Receives datagrams; returns whether more may be waiting.
     fn receive(&mut self, now: Micros) -> bool {
         let mut actions = Vec::new();
-        let more = self.receive_some(now, &mut actions);
-        self.finish(now, actions);
+        let more = self.receive_datagrams(now, &mut actions);
+        self.finish_step(now, actions);
         more
     }
 
-    fn receive_some(&mut self, now: Micros, actions: &mut Vec<Action>) -> bool {
+    fn receive_datagrams(&mut self, now: Micros, actions: &mut Vec<Action>) -> bool {
         let Some(Socket { socket, .. }) = &self.socket else { return true };
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_RECEIVED_PER_TURN {
             let (length, from) = match socket.recv_from(&mut bytes) {
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-                // An earlier datagram met a closed port; others may wait.
+                // An earlier datagram reached a closed port; other datagrams may be waiting.
                 Err(_) => continue,
             };
             match self.peering.members.iter().position(|address| *address == from) {
                 Some(member) => {
-                    // The view itself counts what it can't read.
+                    // The gossip view counts datagrams that it can't decode.
                     let _ = self.gossip.received(now, member as MemberId, &bytes[..length], actions);
                 }
                 None => self.from_unknown_addresses += 1,
@@ -183,42 +186,42 @@
         true
     }
 
-    /// Lets time pass.
+    /// Runs a step without input.
     fn tick(&mut self, now: Micros) {
-        self.finish(now, Vec::new());
+        self.finish_step(now, Vec::new());
     }
 
-    /// Tells the peers that this instance leaves.
+    /// Tells the peers that this instance is leaving.
     fn leave(&mut self, now: Micros) {
         let mut actions = Vec::new();
         self.gossip.leave(now, &mut actions);
-        self.finish(now, actions);
+        self.finish_step(now, actions);
     }
 
     fn set_note(&mut self, now: Micros, note: Vec<u8>) {
         self.gossip.set_note(now, Some(note));
-        self.finish(now, Vec::new());
+        self.finish_step(now, Vec::new());
     }
 
-    /// Ends each step: lets time pass for the view, does what it asks and sends what may be sent.
-    fn finish(&mut self, now: Micros, mut actions: Vec<Action>) {
+    /// Ends a step: advances the gossip view to `now`, performs its actions and sends queued datagrams.
+    fn finish_step(&mut self, now: Micros, mut actions: Vec<Action>) {
         if self.socket.is_some() {
             self.gossip.tick(now, &mut actions);
         }
         for action in actions {
-            self.carry_out(action);
+            self.execute_action(action);
         }
         self.send_queued(now);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Send { to, bytes } => {
                 if self.queue.len() >= MAX_QUEUED_DATAGRAMS {
                     self.queue.pop_front();
                     self.dropped += 1;
                 }
-                self.queue.push_back(Outgoing { to, bytes });
+                self.queue.push_back(QueuedDatagram { to, bytes });
             }
             Action::Noted { .. } => {}
             Action::Changed { member, state: State::Alive, incarnation } => {
@@ -234,10 +237,10 @@
         self.budget.refill(now);
         let Some(Socket { socket, .. }) = &self.socket else { return };
         while self.budget.available >= 1.0 {
-            let Some(Outgoing { to, bytes }) = self.queue.front() else { return };
+            let Some(QueuedDatagram { to, bytes }) = self.queue.front() else { return };
             match socket.send_to(bytes, self.peering.members[usize::from(*to)]) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // Any other failure is as a loss on the way.
+                // Any other failure is treated like a datagram lost on the network.
                 sent => self.dropped += u64::from(sent.is_err()),
             }
             self.budget.available -= 1.0;
@@ -245,7 +248,8 @@
         }
     }
 
-    /// When the next step is due; `None` without a socket, or where a timer for it is set already.
+    /// Returns when the next step is due, or `None` without a socket or if a timer that is early enough is
+    /// set.
     fn schedule(&mut self, now: Micros) -> Option<Micros> {
         self.socket.as_ref()?;
         let next_send = if self.queue.is_empty() { Micros::MAX } else { self.budget.next_send() };
@@ -265,10 +269,11 @@
 }
 
 impl Proxy {
-    /// Begins to talk to the other instances, where the settings allow it.
+    /// Starts gossip with the other instances, if peers are configured.
     pub(super) fn start_gossip(&mut self, peering: Option<Peering>, seed: u64) {
         let Some(peering) = peering else { return };
-        // Later than any incarnation before, unless the clock was set back: then the peers deny it and it goes above.
+        // The value exceeds any earlier incarnation unless the clock was set back. In that case the peers
+        // reject it, and the instance raises its incarnation.
         let incarnation = self.clock.unix_ms(self.now) << 8 | seed & 0xff;
         info!(self.log, "gossip enabled"; "me" => peering.me, "members" => peering.members.len(),
               "incarnation" => incarnation, "datagrams_per_s" => peering.datagrams_per_s);
@@ -277,10 +282,11 @@
         self.maintain_gossip();
     }
 
-    /// Binds the socket where there is none, and lets time pass.
+    /// Binds the socket if it is not bound, and runs a step.
     pub(super) fn maintain_gossip(&mut self) {
         let Some(gossip) = &mut self.gossip else { return };
-        // A process that is replaced, and ends then, must not take the address back from its successor.
+        // A process that has been replaced and is about to end must not take the address back from its
+        // successor.
         if !matches!(self.lifecycle.phase(), Phase::Replaced | Phase::Stopping) {
             gossip.bind(&mut self.event_loop);
         }
@@ -288,7 +294,7 @@
         self.schedule_gossip();
     }
 
-    /// The timer of a step is due; one that an earlier step has overtaken does nothing.
+    /// Runs a step when its timer is due; does nothing if an earlier timer has replaced it.
     pub(super) fn gossip_due(&mut self, at: Micros) {
         if let Some(gossip) = self.gossip.as_mut().filter(|gossip| gossip.next_tick == Some(at)) {
             gossip.next_tick = None;
@@ -297,7 +303,7 @@
         }
     }
 
-    /// Takes what became ready, if it is the socket.
+    /// Receives datagrams if the token is the gossip socket's; returns whether it is.
     pub(super) fn gossip_ready(&mut self, token: Token) -> bool {
         let Some(gossip) = self.gossip.as_mut().filter(|gossip| gossip.owns(token)) else { return false };
         if gossip.receive(self.now) {
@@ -307,7 +313,7 @@
         true
     }
 
-    /// Tells the peers that this instance leaves. One that is replaced goes on in another process.
+    /// Tells the peers that this instance is leaving, unless another process of the instance continues.
     pub(super) fn leave_gossip(&mut self) {
         if self.has_other_process() {
             return;
@@ -318,19 +324,20 @@
         }
     }
 
-    /// Another process of this instance takes clients now, and the datagrams of the peers.
+    /// Closes the gossip socket, because another process of this instance now serves clients and receives the
+    /// peers' datagrams.
     pub(super) fn close_gossip_socket(&mut self) {
         if let Some(gossip) = &mut self.gossip {
             gossip.socket = None;
         }
     }
 
-    /// What is known of the peers.
+    /// Returns the current view of the peers; empty if gossip is disabled.
     pub(super) fn peer_view(&self) -> PeerView {
         self.gossip.as_ref().map_or_else(PeerView::default, |gossip| gossip.view(self.now))
     }
 
-    /// What this instance's note says from now on.
+    /// Sets the note that this instance sends to its peers.
     pub(super) fn set_note(&mut self, note: Vec<u8>) {
         if let Some(gossip) = &mut self.gossip {
             gossip.set_note(self.now, note);
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -1,6 +1,6 @@
-//! Responses kept by the proxy itself: stored as upstreams send them, served to clients that ask for the same.
+//! The local cache: stores responses of upstreams and serves them to clients that request the same object.
 //!
-//! What is worth its memory, and how old a copy may be, [`crate::local_cache`] decides.
+//! [`crate::local_cache`] decides which copies are worth their memory and how old a copy may be.
 
 use super::requests::ActiveRequest;
 use super::Proxy;
@@ -12,7 +12,7 @@
 use crate::routing::events::{Class, Id, Idempotency, Micros};
 
 impl Proxy {
-    /// Applies the memory bound and the link of the configuration, of which two processes have half each.
+    /// Applies the configured memory and link limits; two processes of one instance get half of each.
     pub(super) fn limit_local_cache(&mut self) {
         let (transfer_bytes_per_s, link_bytes_per_s) = self.configuration.local_cache_link;
         let processes = if self.has_other_process() { 2.0 } else { 1.0 };
@@ -23,8 +23,9 @@
         });
     }
 
-    /// The response to a request from the local cache, if a copy will do and can be sent in time. None is served
-    /// while purges may be missing: the command channel is silent, or the purge log can't vouch for being complete.
+    /// Returns a response from the local cache if a copy is acceptable and can be sent in time. Nothing is
+    /// served while purges may be missing, which is the case when the command channel is silent or the purge
+    /// log may be incomplete.
     pub(super) fn serve_from_cache(&mut self, id: &Id) -> Option<Response> {
         if !self.local_cache.is_enabled() {
             return None;
@@ -46,22 +47,22 @@
         Some(response)
     }
 
-    /// Stores what an upstream sends, where it is worth its memory and no purge in force is later than it.
+    /// Stores an upstream's response if it is worth its memory and no purge in force is later than the copy.
     pub(super) fn cache_response(&mut self, id: &Id, response: &UpstreamResponse) {
         let Some(active) = self.requests.get(id) else { return };
         let Some(Lookup { key, .. }) = self.cache_lookup(active) else { return };
         if !self.local_cache.admits(self.now, &key, response.body.len()) {
             return;
         }
-        // Without both nothing tells which version it is, and how old.
+        // Without both fields the version and age of the copy are unknown.
         let minted_ms = response.field("minted").and_then(|minted| minted.parse::<u64>().ok());
         let (Some(minted_ms), Some(tag)) = (minted_ms, response.field("tag")) else { return };
-        let asked_at = active.attempt.as_ref().map_or(self.now, |attempt| attempt.started_at);
-        if self.purges.may_void(&active.request, minted_ms, asked_at) {
+        let requested_at = active.attempt.as_ref().map_or(self.now, |attempt| attempt.started_at);
+        if self.purges.may_void(&active.request, minted_ms, requested_at) {
             return;
         }
         let minted = self.timestamps.copy(self.now, minted_ms);
-        if self.purge_log().and_then(|log| log.floor()).is_some_and(|floor| minted <= floor) {
+        if self.purge_log().and_then(|log| log.void_before()).is_some_and(|time| minted <= time) {
             return;
         }
         let group = active.request.purge_group;
@@ -69,7 +70,7 @@
         self.local_cache.insert(self.now, key, copy);
     }
 
-    /// Drops the copies that a purge covers.
+    /// Removes the copies that a purge covers.
     pub(super) fn purge_local_cache(&mut self, scope: Purge) {
         match scope {
             Purge::Object(object) => self.local_cache.purge(Some(object), 0),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// How a request is looked up; `None`: it must not be answered from a copy.
+    /// Returns the cache lookup for a request, or `None` if it must not be answered from a copy.
     fn cache_lookup<'a>(&self, active: &'a ActiveRequest) -> Option<Lookup<'a>> {
         let request = &active.request;
         let ClassLookup::Found { number, class, .. } = self.classes.find(self.now, &request.route) else {
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Within what time a response of this size is wanted, in microseconds.
+    /// Returns the latency objective for a response of this size, in microseconds.
     fn latency_objective(&self, class: &Class, size_kb: f64) -> Micros {
         let transfer_us = size_kb / self.settings.domain.flow_kb_per_s.max(1.0) * 1e6;
         class.latency_objective + (class.latency_objective_stretch.max(1.0) * transfer_us) as Micros
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -180,7 +180,7 @@
         for event in ready.drain(..of_purge_log) {
             self.handle_ready(event);
         }
-        self.judge_purge_log();
+        self.reevaluate_purge_log();
         for event in ready.drain(..) {
             self.handle_ready(event);
         }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -1,6 +1,7 @@
-//! The purge log joined to the loop: documents of the registry in; purges, and the bound on how old copies may be, out to
-//! the router and to the instance's own copies. What is in force and what can be vouched for `crate::purges::log`
-//! decides. Owned by `fleet.rs`, which drives it.
+//! Connects the purge log to the event loop: it reads the registry's documents, and passes purges and the
+//! bound on the age of copies to the router and to the local cache. `crate::purges::log` decides which purges
+//! are in force and whether the log is known to be complete. `fleet.rs` owns the follower and schedules its
+//! turns.
 
 use super::fleet_context::FleetContext;
 use super::Proxy;
@@ -18,26 +19,27 @@
 use slog::{info, o, warn, Logger};
 
 const MICROS_PER_MS: Micros = 1_000;
-/// Most bytes of entries that are kept: an entry has a bounded number of covers.
+/// Maximum size of all stored entries, in bytes; the number of objects and groups in an entry is limited too.
 const MAX_ENTRY_BYTES: usize = 16 << 20;
 
-/// Follows the purge log for one instance.
+/// Follower of the purge log in one instance.
 pub(super) struct PurgeLogFollower {
     settings: Settings,
     driver: DocumentsDriver,
     log: PurgeLog,
-    /// Whether the documents were read at least once.
-    was_read: bool,
+    /// Whether the documents have been read at least once.
+    has_been_read: bool,
     cut_off_causes: CauseCounts,
 }
 
-/// For how long copies older than a purge may be left somewhere: a fill from an old copy may end after the last drop.
+/// Returns how long copies older than a purge may persist in a cache, in microseconds: a fill from such a
+/// copy may end after the purge has been applied elsewhere.
 fn propagation_time(settings: &Document) -> Micros {
     settings.domain.purge_done_us.saturating_mul(2)
 }
 
 impl PurgeLogFollower {
-    /// Follows the log from now on.
+    /// Creates a follower that has not read the log yet.
     pub fn new(settings: &Settings, seed: u64, context: &FleetContext) -> Self {
         let prefix = format!("{}{ENTRIES}", settings.prefix);
         let registry = RegistrySettings {
@@ -54,27 +56,27 @@
             settings: settings.clone(),
             driver,
             log,
-            was_read: false,
+            has_been_read: false,
             cut_off_causes: CauseCounts::default(),
         }
     }
 
-    /// Whether the settings are those that it runs with; all of them take a restart.
+    /// Returns whether `settings` equal the current ones; any change requires a restart.
     pub fn has_settings(&self, settings: &Settings) -> bool {
         self.settings == *settings
     }
 
-    /// The token of the connection to the registry.
+    /// Returns the token of the connection to the registry.
     pub fn token(&self) -> Option<Token> {
         self.driver.token()
     }
 
-    /// Takes what became ready on it.
+    /// Handles readiness of the connection to the registry.
     pub fn ready(&mut self, event: Ready) {
         self.driver.ready(event);
     }
 
-    /// When the next turn is due.
+    /// Returns when the next turn is due.
     pub fn next_due(&self) -> Micros {
         if self.driver.wants_turn() {
             return 0;
@@ -82,27 +84,28 @@
         self.driver.next().min(self.log.next())
     }
 
-    /// Whether what is vouched for changes by now without anything being heard.
-    pub fn is_judgement_due(&self, now: Micros) -> bool {
+    /// Returns whether the staleness bound is due to change without new input.
+    pub fn is_reevaluation_due(&self, now: Micros) -> bool {
         self.log.next() <= now
     }
 
-    /// Whether all purges up to the bound on staleness are known: only then copies of the instance's own are served.
+    /// Returns whether all purges older than the staleness bound are known; only then may copies from the
+    /// local cache be served.
     pub fn vouches(&self) -> bool {
         self.log.vouches()
     }
 
-    /// When the bound became tighter last.
-    pub fn tightened(&self) -> Option<Micros> {
+    /// Returns when the bound was last introduced or tightened.
+    pub fn bound_tightened_at(&self) -> Option<Micros> {
         self.log.tightened()
     }
 
-    /// Copies from before this moment are void.
-    pub fn floor(&self) -> Option<Micros> {
+    /// Returns the time before which all copies are void.
+    pub fn void_before(&self) -> Option<Micros> {
         self.log.floor()
     }
 
-    /// Names and values for the admin server.
+    /// Returns names and values for the admin endpoint.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 11] {
         let Figures { entries, missed, unusable, cut_offs } = self.log.figures();
         let age = self.driver.confirmed().map_or(now, |confirmed| now.saturating_sub(confirmed));
@@ -121,12 +124,12 @@
         ]
     }
 
-    /// Lets the connection to the registry go on.
-    pub fn drive_registry(&mut self, now: Micros, event_loop: &mut EventLoop) {
+    /// Runs a turn of the connection to the registry.
+    pub fn run_registry_driver(&mut self, now: Micros, event_loop: &mut EventLoop) {
         self.driver.turn(now, event_loop);
     }
 
-    /// One turn; what follows from it.
+    /// Runs one turn and returns the actions to perform.
     pub fn turn(&mut self, context: &FleetContext) -> Vec<Action> {
         let mut actions = Vec::new();
         self.log.lingers(propagation_time(context.settings));
@@ -141,13 +144,13 @@
         };
         self.log.confirmed(context.now, evidence.confirmed, &mut actions);
         if actions.contains(&Action::Say(Notice::CutOff)) {
-            self.note_cut_off(&evidence, context.log);
+            self.record_cut_off(&evidence, context.log);
         }
         actions
     }
 
-    /// Counts why the instance was cut off, and tells the operators what shows it.
-    fn note_cut_off(&mut self, evidence: &Evidence, log: &Logger) {
+    /// Counts the cause of a cut-off, and logs it with its evidence.
+    fn record_cut_off(&mut self, evidence: &Evidence, log: &Logger) {
         let cause = Cause::of(evidence);
         self.cut_off_causes.add(cause);
         let age = |moment: Micros| evidence.now.saturating_sub(moment) / MICROS_PER_MS;
@@ -162,13 +165,13 @@
     fn take_changes(&mut self, context: &FleetContext, actions: &mut Vec<Action>) {
         let changes = self.driver.take_changes();
         let driver = &self.driver;
-        let all = changes.all || !std::mem::replace(&mut self.was_read, true);
-        let keys: Vec<&str> = if all {
+        let rereads_all = changes.all || !std::mem::replace(&mut self.has_been_read, true);
+        let keys: Vec<&str> = if rereads_all {
             driver.below("").map(|(key, _)| key).collect()
         } else {
             changes.keys.iter().map(String::as_str).collect()
         };
-        if all || !keys.is_empty() {
+        if rereads_all || !keys.is_empty() {
             let value = |key: &str| driver.get(key).map(|document| document.value.as_slice());
             let entries = keys.into_iter().map(|key| (key, value(key)));
             self.log.changed(context.now, context.unix_ms, entries, actions);
@@ -177,8 +180,8 @@
 }
 
 impl Proxy {
-    /// Does what the purge log asks.
-    pub(super) fn follow_purge_log(&mut self, action: Action) {
+    /// Performs an action of the purge log.
+    pub(super) fn execute_purge_log_action(&mut self, action: Action) {
         match action {
             Action::Purge(Cover::Object(object), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Object(object), when_ms });
@@ -186,7 +189,7 @@
             Action::Purge(Cover::Group(group), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Group(group), when_ms });
             }
-            Action::Purge(..) => invariant!(false, "a purge of the log is of an object or a group"),
+            Action::Purge(..) => invariant!(false, "a purge from the log covers an object or a group"),
             Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
             Action::VoidOwn => self.local_cache.clear(),
             Action::Say(notice) => self.log_purge_log_notice(notice),
@@ -197,18 +200,18 @@
         let log = &self.log;
         match notice {
             Notice::CutOff => {
-                warn!(log, "purge log cut off: copies must be no older than the bound";
-                      "remedy" => "it is dialed again; see whether the endpoints of purge_log() are reached from here");
+                warn!(log, "purge log cut off: only copies younger than the staleness bound are accepted";
+                      "remedy" => "the registry is dialed again; check that the endpoints of purge_log() are reachable from this instance");
             }
             Notice::Vouched { after } => info!(log, "purge log current"; "after_ms" => after / MICROS_PER_MS),
             Notice::Missed { from, to, void } => {
                 warn!(log, "purge log entries overwritten before they were read";
                       "from" => from, "to" => to, "all_void" => void,
-                      "remedy" => "where all_void is true purges come faster than the ring holds: put several into one entry");
+                      "remedy" => "if all_void is true, purges are written faster than the ring can hold: put several into one entry");
             }
             Notice::WentBack { known, there } => {
-                warn!(log, "purge log went back, all copies are void"; "known" => known, "there" => there,
-                      "remedy" => "see who wrote there; begin a log anew only below another prefix");
+                warn!(log, "purge log numbers went back, all copies are void"; "known" => known, "there" => there,
+                      "remedy" => "check which program writes there; start a new log only below another prefix");
             }
             Notice::Unusable(reason) => {
                 warn!(log, "purge log entry unusable, all copies are void"; "reason" => %reason);
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -268,7 +268,7 @@
 
     /// Lets the connection to the registry go on: before a turn, so that the turn has what came, and after it, so that what
     /// it submitted is sent.
-    pub fn drive_registry(&mut self, now: Micros, event_loop: &mut EventLoop) {
+    pub fn run_registry_driver(&mut self, now: Micros, event_loop: &mut EventLoop) {
         self.driver.turn(now, event_loop);
     }
 
