--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -33,7 +33,7 @@
         let key = self.cache_lookup(self.requests.get(id)?)?.key;
         self.local_cache.count_demand(self.now, key);
         let knows_purges = self.discovery.command_channel.is_current(self.now)
-            && self.purge_log().is_none_or(|log| log.vouches());
+            && self.purge_log().is_none_or(|log| log.is_current());
         if !knows_purges {
             return None;
         }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -91,7 +91,7 @@
 
     /// Returns whether all purges older than the staleness bound are known; only then may copies from the
     /// local cache be served.
-    pub fn vouches(&self) -> bool {
+    pub fn is_current(&self) -> bool {
         self.log.vouches()
     }
 
--- a/src/proxy/tests/purge_log.rs
+++ b/src/proxy/tests/purge_log.rs
@@ -18,7 +18,7 @@
     let registry = Registry::start(1).unwrap();
     let purge_log = Some(Settings::new(registry.addresses.clone(), "/purges/"));
     w.proxy.start_fleet(&Product { purge_log, ..Product::default() }, 1).unwrap();
-    w.until("the log", |d| d.purge_log().is_some_and(|log| log.vouches()).then_some(()));
+    w.until("the log", |d| d.purge_log().is_some_and(|log| log.is_current()).then_some(()));
     (w, registry)
 }
 
