--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -1,6 +1,7 @@
-//! Shards joined to the loop: documents of the registry in; shard assignments for the router, the planner's transactions
-//! and the buckets of what was newly filled out. What moves, splits or waits `crate::placement` and `crate::growth`
-//! decide. Owned by `fleet.rs`.
+//! Connects the shards to the event loop: it reads the registry's documents, and produces shard assignments
+//! for the router, transactions of the planner, and growth buckets, which count newly filled objects.
+//! `crate::placement` and `crate::growth` decide what is moved, split or postponed. `fleet.rs` owns the
+//! rebalancer and schedules its turns.
 
 use super::fleet_context::{FleetContext, PeerNote, SiteView};
 use super::shard_capacity::{caches, link_kb_s, max_instances};
@@ -33,52 +34,54 @@
 use std::sync::Arc;
 
 const MICROS_PER_MS: Micros = 1_000;
-/// Between two steps of the planner, and between two looks at what is to be written.
+/// Interval between two steps of the planner, and between two checks for data to write, in microseconds.
 const STEP_INTERVAL: Micros = 1_000 * MICROS_PER_MS;
-/// Longest time between two forecasts: what is known changes with a bucket, and buckets may be longer.
-const LONGEST_FORECAST_INTERVAL: Micros = 60_000 * MICROS_PER_MS;
-/// Between two slices of a forecast.
+/// Maximum time between two forecasts, in microseconds. The input changes with each growth bucket, and
+/// buckets may be longer than this.
+const MAX_FORECAST_INTERVAL: Micros = 60_000 * MICROS_PER_MS;
+/// Interval between two slices of a forecast, in microseconds.
 const FORECAST_SLICE_INTERVAL: Micros = 50 * MICROS_PER_MS;
 
-/// What a transaction that waits for its answer is about.
+/// Purpose of a transaction that awaits its outcome.
 #[derive(Debug)]
 enum PendingTransaction {
-    /// A step of a zone's planner.
+    /// Step of a zone's planner.
     PlannerStep { zone: Zone, step: u64 },
-    /// A bucket of growth.
+    /// Growth bucket of this instance.
     GrowthBucket { key: String },
-    /// A schedule of splits, or counted work: the next one takes its place, so that its answer changes nothing.
+    /// Split schedule, compaction of growth buckets, or counted work. The next write replaces it, so the
+    /// outcome has no effect.
     Superseded,
 }
 
-/// What the planner knows of one zone.
+/// Planner of one zone, and its forecast.
 struct ZonePlanner {
     planner: Planner,
     forecast: Option<Ahead>,
     last_forecast: Option<Micros>,
 }
 
-/// What a forecast asks to be written.
+/// Documents that a forecast has to write.
 #[derive(Default)]
 struct ForecastWrites {
-    /// The key and the value of the schedule of splits.
+    /// Key and value of the split schedule.
     schedule: Option<(String, Vec<u8>)>,
-    /// Buckets whose history one base document takes over.
+    /// Buckets whose history is merged into one base document.
     compaction: Option<Old>,
 }
 
-/// A request that a cache served, as the counts of growth and work take it.
+/// A request served by a cache, for the counts of growth and work.
 pub(super) struct ServedRequest {
     pub object: u64,
     pub part: u64,
     pub kb: f64,
-    /// How long its transfer takes at full pace.
+    /// Transfer time at full speed, in microseconds.
     pub work_us: f64,
     pub newly_filled: bool,
     pub is_write: bool,
 }
 
-/// The shards of one instance.
+/// Follower and planner of the shards in one instance.
 pub(super) struct ShardRebalancer {
     settings: Settings,
     calendar: Calendar,
@@ -90,7 +93,7 @@
     planners: BTreeMap<Zone, ZonePlanner>,
     growth: Option<Growth>,
     work: Work,
-    /// By the number of the transaction.
+    /// Transactions that await their outcome, by number.
     pending: FxHashMap<u64, PendingTransaction>,
     last_transaction: u64,
     forecast_interval: Micros,
@@ -100,10 +103,10 @@
     /// Whether this instance holds the planner's lease.
     holds_lease: bool,
     committed_steps: u64,
-    refused_steps: u64,
+    rejected_steps: u64,
 }
 
-/// A driver that runs for the planner's lease.
+/// Creates a driver that competes for the planner's lease.
 fn campaigning_driver(settings: &Settings, seed: u64, context: &FleetContext) -> DocumentsDriver {
     let mut driver = DocumentsDriver::new(
         settings.endpoints.clone(),
@@ -118,7 +121,7 @@
     driver
 }
 
-/// The map that an instance begins with: from its snapshot, or none.
+/// Returns a follower with the shard map of the snapshot, or without a map.
 fn restored_follower(folder: Option<&Path>, zone: u16, log: &Logger) -> Follower {
     match folder.map(|folder| snapshot::load(folder, zone)) {
         Some(Ok(follower)) => follower,
@@ -136,7 +139,7 @@
         .ok()
 }
 
-/// A planner for each zone that has instances.
+/// Creates a planner for each zone that has instances.
 fn zone_planners(settings: &Document, product: &Product) -> BTreeMap<Zone, ZonePlanner> {
     let instances = &settings.domain.crew_by_zone;
     let is_served = |zone: Zone| zone == settings.zone || instances.get(zone).is_some_and(|count| *count > 0);
@@ -148,20 +151,20 @@
     zones.filter(|(zone, _)| is_served(*zone)).map(planner).collect()
 }
 
-/// A transaction that writes one key.
+/// Returns a transaction that writes one key.
 fn put(entry: (String, Vec<u8>)) -> Transaction {
     Transaction { puts: vec![entry], ..Transaction::default() }
 }
 
 impl ShardRebalancer {
-    /// Follows the documents from now on, and runs for the planner's lease.
+    /// Creates a rebalancer that follows the documents and competes for the planner's lease.
     pub fn new(settings: &Settings, product: &Product, seed: u64, context: &FleetContext) -> Self {
         let (document, log, name) = (context.settings, context.log, context.instance_name);
         let zone = document.zone;
         let folder = settings.snapshot.as_deref();
         let growth = product.growth.clone();
-        let forecast_interval = growth.as_ref().map_or(LONGEST_FORECAST_INTERVAL, |growth| {
-            growth.bucket.clamp(STEP_INTERVAL, LONGEST_FORECAST_INTERVAL)
+        let forecast_interval = growth.as_ref().map_or(MAX_FORECAST_INTERVAL, |growth| {
+            growth.bucket.clamp(STEP_INTERVAL, MAX_FORECAST_INTERVAL)
         });
         let rebalancer = ShardRebalancer {
             settings: settings.clone(),
@@ -182,7 +185,7 @@
             last_bucket_write: context.now,
             holds_lease: false,
             committed_steps: 0,
-            refused_steps: 0,
+            rejected_steps: 0,
         };
         rebalancer.log_start(log);
         rebalancer
@@ -192,14 +195,14 @@
         let windows = self.calendar.quiet.len();
         info!(log, "shard rebalancing enabled"; "zones" => self.planners.len(), "windows" => windows);
         if windows == 0 {
-            warn!(log, "no quiet hours are set: no shard ever moves"; "remedy" => "set quiet()");
+            warn!(log, "quiet hours are not configured: no shard will be moved"; "remedy" => "set quiet()");
         }
         if self.growth.is_none() {
-            warn!(log, "the load of shards is not measured: no shard ever moves or splits"; "remedy" => "set growth()");
+            warn!(log, "growth is not configured: no shard will be moved or split"; "remedy" => "set growth()");
         }
     }
 
-    /// Takes other bounds and hours; `false`: some of the settings take a restart.
+    /// Applies reloaded settings and quiet hours; returns `false` if some of the changes require a restart.
     pub fn reconfigure(&mut self, new: &Settings, calendar: &Calendar) -> bool {
         let old = &self.settings;
         let (endpoints, prefix) = (old.endpoints.clone(), old.prefix.clone());
@@ -209,7 +212,8 @@
         self.settings == *new
     }
 
-    /// While this instance is the planner: each zone's growth by a week ahead, 1 where it is not known.
+    /// Returns the growth of each zone by week `week`, with 1 for zones without a forecast. Returns `None` if
+    /// this instance is not the planner or no zone has a forecast.
     pub fn growth_factors(&self, week: usize, zone_count: usize) -> Option<Vec<f64>> {
         let factor = |zone: Zone| {
             let forecast = self.planners.get(&zone).and_then(|planner| planner.forecast.as_ref());
@@ -219,27 +223,27 @@
         known.then(|| (0..zone_count).map(|zone| factor(zone).unwrap_or(1.0)).collect())
     }
 
-    /// Where the shards of this instance's zone are served.
+    /// Returns the assignments of the shards of this instance's zone to caches.
     pub fn assignments(&self) -> Arc<[ShardAssignment]> {
         self.assignments.clone()
     }
 
-    /// The epoch of the map that is applied; 0: none.
+    /// Returns the epoch of the applied shard map, or 0 without a map.
     pub fn epoch(&self) -> u32 {
         self.follower.epoch()
     }
 
-    /// The token of the connection to the registry.
+    /// Returns the token of the connection to the registry.
     pub fn token(&self) -> Option<Token> {
         self.driver.token()
     }
 
-    /// Takes what became ready on it.
+    /// Handles readiness of the connection to the registry.
     pub fn ready(&mut self, event: Ready) {
         self.driver.ready(event);
     }
 
-    /// When the next turn is due.
+    /// Returns when the next turn is due.
     pub fn next_due(&self) -> Micros {
         if self.driver.wants_turn() {
             return 0;
@@ -253,7 +257,7 @@
         self.driver.next().min(own)
     }
 
-    /// Names and values for the admin server.
+    /// Returns names and values for the admin endpoint.
     pub fn metrics(&self) -> [(&'static str, u64); 6] {
         let waiting = self.growth.as_ref().map_or(0, Growth::pending);
         [
@@ -261,21 +265,21 @@
             ("shards", self.assignments.len() as u64),
             ("shard_planner", u64::from(self.holds_lease)),
             ("shard_changes_total", self.committed_steps),
-            ("shard_changes_refused_total", self.refused_steps),
+            ("shard_changes_refused_total", self.rejected_steps),
             ("growth_buckets_waiting", waiting as u64),
         ]
     }
 
-    /// Lets the connection to the registry go on: before a turn, so that the turn has what came, and after it, so that what
-    /// it submitted is sent.
+    /// Runs a turn of the connection to the registry: before a turn of the rebalancer, so that new documents
+    /// are available, and after it, so that submitted transactions are sent.
     pub fn run_registry_driver(&mut self, now: Micros, event_loop: &mut EventLoop) {
         self.driver.turn(now, event_loop);
     }
 
-    /// One turn; whether the assignments have changed.
+    /// Runs one turn; returns whether the assignments have changed.
     pub fn turn(&mut self, context: &FleetContext, sites: &SiteView) -> bool {
         let now = context.now;
-        self.take_answers(context.log);
+        self.take_outcomes(context.log);
         let map_changed = self.follow_documents(context);
         let fence = self.driver.fence(now);
         if self.holds_lease != fence.is_some() {
@@ -296,31 +300,31 @@
         map_changed && self.update_assignments(context, sites)
     }
 
-    fn submit(&mut self, context: &FleetContext, what: PendingTransaction, transaction: Transaction) {
+    fn submit(&mut self, context: &FleetContext, purpose: PendingTransaction, transaction: Transaction) {
         self.last_transaction += 1;
         match self.driver.submit(context.now, self.last_transaction, transaction) {
-            Ok(()) => drop(self.pending.insert(self.last_transaction, what)),
+            Ok(()) => drop(self.pending.insert(self.last_transaction, purpose)),
             Err(error) => {
-                debug!(context.log, "transaction not sent"; "transaction" => ?what, "error" => %error);
-                self.settle(context.log, what, Outcome::NotSent);
+                debug!(context.log, "registry transaction not sent"; "transaction" => ?purpose, "error" => %error);
+                self.complete_transaction(context.log, purpose, Outcome::NotSent);
             }
         }
     }
 
-    fn take_answers(&mut self, log: &Logger) {
-        for (number, answer) in self.driver.take_outcomes() {
-            let Some(what) = self.pending.remove(&number) else { continue };
-            self.settle(log, what, answer);
+    fn take_outcomes(&mut self, log: &Logger) {
+        for (number, outcome) in self.driver.take_outcomes() {
+            let Some(purpose) = self.pending.remove(&number) else { continue };
+            self.complete_transaction(log, purpose, outcome);
         }
     }
 
-    fn settle(&mut self, log: &Logger, what: PendingTransaction, answer: Outcome) {
-        match what {
+    fn complete_transaction(&mut self, log: &Logger, purpose: PendingTransaction, outcome: Outcome) {
+        match purpose {
             PendingTransaction::PlannerStep { zone, step } => {
-                self.settle_planner_step(log, zone, step, answer)
+                self.complete_planner_step(log, zone, step, outcome)
             }
             PendingTransaction::GrowthBucket { key } => {
-                if let (Outcome::Committed { .. }, Some(growth)) = (answer, &mut self.growth) {
+                if let (Outcome::Committed { .. }, Some(growth)) = (outcome, &mut self.growth) {
                     growth.written(&key);
                 }
             }
@@ -328,37 +332,37 @@
         }
     }
 
-    fn settle_planner_step(&mut self, log: &Logger, zone: Zone, step: u64, answer: Outcome) {
-        debug!(log, "planner transaction answered"; "zone" => zone, "answer" => ?answer);
-        let answer = match answer {
+    fn complete_planner_step(&mut self, log: &Logger, zone: Zone, step: u64, outcome: Outcome) {
+        debug!(log, "planner transaction answered"; "zone" => zone, "answer" => ?outcome);
+        let result = match outcome {
             Outcome::Committed { revision } => TransactionResult::Committed(revision),
             Outcome::CompareFailed | Outcome::NotSent => TransactionResult::Rejected,
             Outcome::Unknown => TransactionResult::Unknown,
         };
-        match answer {
+        match result {
             TransactionResult::Committed(_) => self.committed_steps += 1,
-            TransactionResult::Rejected | TransactionResult::Unknown => self.refused_steps += 1,
+            TransactionResult::Rejected | TransactionResult::Unknown => self.rejected_steps += 1,
         }
         if let Some(zone_planner) = self.planners.get_mut(&zone) {
-            zone_planner.planner.answered(step, answer);
+            zone_planner.planner.answered(step, result);
         }
     }
 
-    /// Takes what has changed in the registry; whether the assignments may have.
+    /// Applies changes of the registry's documents; returns whether the assignments may have changed.
     fn follow_documents(&mut self, context: &FleetContext) -> bool {
         if self.driver.revision() == 0 {
-            // The map of the snapshot holds until the registry was read.
+            // The snapshot's map applies until the registry has been read.
             return self.assignments.is_empty() && self.follower.epoch() > 0;
         }
         let changes = self.driver.take_changes();
         let applied = self.follow_map(context.log, &changes);
         self.follow_growth(context, &changes);
-        // With a map the assignments may change without the registry: caches come and go, and with them the part of the
-        // link that warming one of them may take.
+        // The assignments may change without a change of the documents: when caches come and go, the share of
+        // the link that warming a cache may use changes too.
         applied || !self.assignments.is_empty()
     }
 
-    /// Takes the map of this instance's zone; whether a new one is applied.
+    /// Applies the shard map of this instance's zone; returns whether a new map was applied.
     fn follow_map(&mut self, log: &Logger, changes: &Changes) -> bool {
         let key = map_key("", self.zone as u16);
         if !changes.all && !changes.keys.contains(&key) {
@@ -369,7 +373,7 @@
                 info!(log, "shard map applied"; "epoch" => epoch);
                 if let (Some(saver), Some(map)) = (&self.saver, self.follower.map()) {
                     if !saver.save(map) {
-                        debug!(log, "shard map not saved: the disk is behind"; "epoch" => epoch);
+                        debug!(log, "shard map not saved: an earlier save is still running"; "epoch" => epoch);
                     }
                 }
                 true
@@ -382,7 +386,7 @@
         }
     }
 
-    /// Takes the buckets of growth of all zones that are planned here.
+    /// Passes changed growth buckets to the forecasts of all zones.
     fn follow_growth(&mut self, context: &FleetContext, changes: &Changes) {
         let names = &context.settings.failure_domains;
         for (zone, planner) in &mut self.planners {
@@ -397,20 +401,23 @@
             for key in changed.chain(&listed) {
                 let Some(document) = self.driver.get(key) else { continue };
                 if let Err(error) = forecast.document(&document.value, context.unix_ms) {
-                    warn!(context.log, "growth bucket not used"; "key" => key, "error" => %error);
+                    warn!(context.log, "growth bucket rejected"; "key" => key, "error" => %error);
                 }
             }
         }
     }
 
-    /// Makes the assignments anew; whether they have changed.
+    /// Recomputes the assignments; returns whether they have changed.
     fn update_assignments(&mut self, context: &FleetContext, sites: &SiteView) -> bool {
         let settings = context.settings.for_router();
         let caches = caches(context, sites.endpoints, self.zone);
         let link_kb_s = link_kb_s(context.settings, self.zone, &caches);
         let processes = f64::from(max_instances(context.settings, self.zone)) * f64::from(context.processes);
         let warming_rate = |cache: &Id| {
-            let spare_kb_s = caches.iter().find(|place| place.id == *cache).map_or(0.0, |p| p.spare_kb_s);
+            let spare_kb_s = caches
+                .iter()
+                .find(|capacity| capacity.id == *cache)
+                .map_or(0.0, |capacity| capacity.spare_kb_s);
             warm_kb_s(self.settings.warm, link_kb_s, spare_kb_s)
                 / settings.transfer_rate_kb_s.max(1.0)
                 / processes
@@ -420,7 +427,7 @@
         std::mem::replace(&mut self.assignments, assignments) != self.assignments
     }
 
-    /// Counts a request: its work, and its object if that was newly filled.
+    /// Counts a request: its work, and its object if the object was newly filled.
     pub fn count_served(&mut self, request: &ServedRequest) {
         self.work.add(request.object, request.work_us);
         if let Some(growth) = &mut self.growth {
@@ -428,19 +435,20 @@
         }
     }
 
-    /// Closes and writes what was counted here.
+    /// Closes the counts of this instance when their bucket ends, and writes them.
     fn write_counts(&mut self, context: &FleetContext) {
         let Some(growth) = &mut self.growth else { return };
         let closed = growth.close(context.unix_ms);
-        let is_bucket = |what: &PendingTransaction| matches!(what, PendingTransaction::GrowthBucket { .. });
-        let waits = self.pending.values().any(is_bucket);
-        // The open bucket is written too from time to time: its counts must not be lost with the process.
+        let is_bucket =
+            |purpose: &PendingTransaction| matches!(purpose, PendingTransaction::GrowthBucket { .. });
+        let is_bucket_pending = self.pending.values().any(is_bucket);
+        // The open bucket is written periodically too, so that its counts are not lost when the process ends.
         let open_bucket_due = context.now >= self.last_bucket_write + self.forecast_interval;
         let open_bucket = growth.current().filter(|_| open_bucket_due);
-        if let Some((key, value)) = growth.next().or(open_bucket).filter(|_| !waits) {
+        if let Some((key, value)) = growth.next().or(open_bucket).filter(|_| !is_bucket_pending) {
             self.last_bucket_write = context.now;
-            let what = PendingTransaction::GrowthBucket { key: key.clone() };
-            self.submit(context, what, put((key, value)));
+            let purpose = PendingTransaction::GrowthBucket { key: key.clone() };
+            self.submit(context, purpose, put((key, value)));
         }
         if closed {
             let key = Work::key(context.zone_name(self.zone), context.instance_name);
@@ -449,7 +457,7 @@
         }
     }
 
-    /// One slice of each forecast that is under way.
+    /// Runs one slice of each forecast in progress.
     fn step_forecasts(&mut self, context: &FleetContext) {
         for forecast in self.planners.values_mut().filter_map(|planner| planner.forecast.as_mut()) {
             for notice in forecast.step(context.unix_ms) {
@@ -458,14 +466,14 @@
         }
     }
 
-    /// The planner's step for one zone. `fence`: this instance holds the planner's lease.
+    /// Runs the planner's step for one zone; `fence` is present if this instance holds the planner's lease.
     fn plan_zone(&mut self, context: &FleetContext, sites: &SiteView, zone: Zone, fence: Option<i64>) {
         let Some(mut zone_planner) = self.planners.remove(&zone) else { return };
         let Some(name) = context.settings.failure_domains.get(zone) else { return };
         let caches = caches(context, sites.endpoints, zone);
         let link_kb_s = link_kb_s(context.settings, zone, &caches);
         let mut notices = Vec::new();
-        self.hand_documents(context, &mut zone_planner.planner, zone, fence, &mut notices);
+        self.pass_documents(context, &mut zone_planner.planner, zone, fence, &mut notices);
         let writes = match fence {
             Some(_) => self.forecast(context, &mut zone_planner, zone, &caches, link_kb_s),
             None => ForecastWrites::default(),
@@ -484,8 +492,8 @@
         }
     }
 
-    /// Gives the planner the map and the moves as they stand in the registry, where it asks for them.
-    fn hand_documents(
+    /// Passes the map and the moves of the registry to the planner if it needs them.
+    fn pass_documents(
         &self,
         context: &FleetContext,
         planner: &mut Planner,
@@ -500,7 +508,7 @@
         }
     }
 
-    /// Begins a forecast where one is due, and collects what the last one wants written.
+    /// Begins a forecast if one is due, and returns the documents that the last forecast has to write.
     fn forecast(
         &self,
         context: &FleetContext,
@@ -526,7 +534,7 @@
             let work = Work::merged(counts, context.unix_ms);
             let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
-                warn!(context.log, "split schedule not used"; "zone" => name, "error" => %error);
+                warn!(context.log, "split schedule rejected"; "zone" => name, "error" => %error);
             }
         }
         ForecastWrites {
@@ -535,7 +543,7 @@
         }
     }
 
-    /// Lets the planner decide; what it wants written.
+    /// Runs the planner and returns the transaction that it has to write.
     fn step_planner(
         &self,
         planning: &ZonePlanning,
@@ -544,7 +552,7 @@
     ) -> Option<PlannerTransaction> {
         let ZonePlanning { context, zone, .. } = *planning;
         let forecast = zone_planner.forecast.as_ref();
-        let wishes = forecast.and_then(Ahead::requested_changes);
+        let requested_changes = forecast.and_then(Ahead::requested_changes);
         let view = PlannerInput {
             settings: &self.settings,
             calendar: &self.calendar,
@@ -560,17 +568,18 @@
             link_kb_s: planning.link_kb_s,
             endpoints: planning.caches,
             loads: forecast.map_or(&[], Ahead::loads),
-            requested_changes: wishes.as_deref(),
+            requested_changes: requested_changes.as_deref(),
         };
         zone_planner.planner.step(&view, notices)
     }
 
-    /// The epoch of the map that each instance of a zone has applied.
+    /// Returns the epoch of the map that each instance of a zone has applied, or `None` where it is unknown.
     fn applied_epochs(&self, context: &FleetContext, zone: Zone) -> Vec<Option<u32>> {
         let notes = context.peers.notes.iter().map(|peer| &peer.note);
         let in_zone = notes.filter(|note| usize::from(note.zone) == zone);
         let mut epochs: Vec<Option<u32>> = in_zone.map(|note| Some(note.map_epoch)).collect();
-        // A peer that is seen and has sent no note may be of any zone and may lack the map: it holds back every zone.
+        // A reachable peer whose note is missing may belong to any zone and may not have the map, so it holds
+        // back the plans of all zones.
         epochs.extend(std::iter::repeat_n(None, context.peers.without_note));
         if zone == self.zone {
             epochs.push(Some(self.follower.epoch()));
@@ -585,8 +594,8 @@
             puts: step.puts,
             deletes: Vec::new(),
         };
-        let what = PendingTransaction::PlannerStep { zone, step: step.id };
-        self.submit(context, what, fenced(transaction, step.fence));
+        let purpose = PendingTransaction::PlannerStep { zone, step: step.id };
+        self.submit(context, purpose, fenced(transaction, step.fence));
     }
 
     fn submit_forecast(&mut self, context: &FleetContext, zone: &str, writes: ForecastWrites, fence: i64) {
@@ -601,7 +610,7 @@
     }
 }
 
-/// What one step of a zone's planner is given.
+/// Inputs of one step of a zone's planner.
 struct ZonePlanning<'a> {
     context: &'a FleetContext<'a>,
     sites: &'a SiteView<'a>,
@@ -613,14 +622,16 @@
 }
 
 impl ZonePlanning<'_> {
-    /// The sites that a plan of this zone touches: its own, and those of the parents that its fills come from.
+    /// Returns the states of the sites that a plan for this zone affects: the zone itself, and those of the
+    /// parent caches that its fills come from.
     fn touched_sites(&self) -> Vec<SiteState> {
         let endpoints = self.sites.endpoints.values();
         let parents = endpoints.filter(|endpoint| endpoint.role == Role::Parent).map(|parent| parent.zone);
         parents.chain([self.zone]).map(|zone| self.sites.state(zone)).collect()
     }
 
-    /// The most by which a peer's clock differs from this instance's, by its note.
+    /// Returns the largest difference between a peer's clock, as given in its note, and this instance's
+    /// clock, in milliseconds.
     fn clock_skew_ms(&self) -> u64 {
         let skew_ms =
             |peer: &PeerNote| (peer.note.clock_ms + peer.age / MICROS_PER_MS).abs_diff(self.context.unix_ms);
--- a/src/proxy/shard_capacity.rs
+++ b/src/proxy/shard_capacity.rs
@@ -1,5 +1,5 @@
-//! What the caches and the link of a zone can do, as the planner of shards counts it: settings and the list of endpoints
-//! in, figures out. It has no state; `rebalancing.rs` asks it.
+//! Capacities of the caches and the link of a zone, as the shard planner needs them, computed from the
+//! settings and the endpoint list.
 
 use super::fleet_context::{Endpoints, FleetContext};
 use crate::config::settings::Document;
@@ -8,17 +8,17 @@
 use crate::placement::rebalance::EndpointCapacity;
 use crate::routing::events::{Endpoint, EndpointState, Role};
 
-/// Part of a cache's capacity that warming may take at most.
+/// Maximum share of a cache's capacity that warming may use.
 const WARMING_SHARE: f64 = 0.25;
 
-/// The caches of a zone, in the order of their ids.
+/// Returns the capacities of a zone's caches, ordered by id.
 pub(super) fn caches(context: &FleetContext, endpoints: &Endpoints, zone: Zone) -> Vec<EndpointCapacity> {
     let settings = context.settings.for_router();
     let in_zone = |endpoint: &&Endpoint| endpoint.role == Role::Cache && endpoint.zone == zone;
     let mut caches: Vec<Endpoint> = endpoints.values().filter(in_zone).cloned().collect();
     caches.sort_by(|a, b| a.id.cmp(&b.id));
     let slow_start = settings.cache_slow_start.duration;
-    let place = |cache: &Endpoint| EndpointCapacity {
+    let capacity = |cache: &Endpoint| EndpointCapacity {
         id: cache.id.clone(),
         weight: if settings.weights_are_sizes { cache.weight } else { 1.0 },
         accepts_requests: cache.state == EndpointState::Healthy,
@@ -27,16 +27,17 @@
             * server_size(&settings, &caches, cache)
             * settings.transfer_rate_kb_s.max(1.0),
     };
-    caches.iter().map(place).collect()
+    caches.iter().map(capacity).collect()
 }
 
-/// What the link of a zone carries, in KB a second: by the settings, or else what its caches have to spare.
+/// Returns the capacity of a zone's link in KB per second: the configured one, or else the sum of the spare
+/// capacities of its caches.
 pub(super) fn link_kb_s(settings: &Document, zone: Zone, caches: &[EndpointCapacity]) -> f64 {
     let configured = settings.domain.inlet_kb_per_s.get(zone).copied().filter(|rate| *rate > 0.0);
     configured.unwrap_or_else(|| caches.iter().map(|cache| cache.spare_kb_s).sum())
 }
 
-/// Most instances that a zone may have.
+/// Returns the maximum number of instances of a zone.
 pub(super) fn max_instances(settings: &Document, zone: Zone) -> u32 {
     let configured = settings.domain.crew_by_zone.get(zone).copied().filter(|count| *count > 0);
     configured.unwrap_or(settings.balancers).max(1)
