--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint on sockets: one command a connection, one answer, a close. What a command may be and who has a
-//! place [`crate::admin`] decides.
+//! The admin endpoint: each connection carries one command and one answer, and is then closed.
+//! [`crate::admin`] parses the commands and limits the number of connections.
 
 use super::Proxy;
 use crate::admin::{Call, Callers, Gauges};
@@ -13,59 +13,59 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
 
-/// Connections accepted in one turn.
+/// Maximum number of connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// Bytes read at a time; far more than a command has.
+/// Size of a read in bytes; far more than the length of a command.
 const READ_CHUNK: usize = 256;
 
-/// The connection of one operator.
+/// Connection of an operator.
 pub(super) struct AdminClient {
     stream: TcpStream,
     received: Vec<u8>,
-    /// What is still to be written; `None` while no command has come.
+    /// Bytes of the answer that are not written yet; `None` until a command has arrived.
     answer: Option<Vec<u8>>,
 }
 
-/// What a read of a connection came to.
+/// Result of reading from a connection.
 enum ReadOutcome {
     Command(Call),
-    /// There is nothing more to read now.
+    /// No complete command has arrived yet.
     Pending,
-    /// The operator has closed its side, or the connection broke.
+    /// The operator has closed the connection, or it broke.
     Ended,
 }
 
-/// Listens for operators and holds their connections.
+/// Listener of the admin endpoint and its connections.
 pub(super) struct AdminServer {
     pub(super) token: Token,
     pub(super) listener: TcpListener,
     pub(super) clients: FxHashMap<Token, AdminClient>,
-    places: Callers<Token>,
+    slots: Callers<Token>,
 }
 
 impl AdminServer {
-    /// Listens for operators.
+    /// Opens the listener of the admin endpoint.
     ///
     /// # Errors
-    /// The address can't be had, or the poll takes no more sockets.
+    /// The address can't be bound, or the listener can't be registered with the poll.
     pub(super) fn open(address: SocketAddr, event_loop: &mut EventLoop) -> io::Result<AdminServer> {
         let mut listener = TcpListener::bind(address)?;
         let token = event_loop.add(&mut listener, Interest::READABLE)?;
-        Ok(AdminServer { token, listener, clients: FxHashMap::default(), places: Callers::default() })
+        Ok(AdminServer { token, listener, clients: FxHashMap::default(), slots: Callers::default() })
     }
 
-    /// Whether a token is the listener's or a connection's.
+    /// Returns whether a token belongs to the listener or one of the connections.
     pub(super) fn owns(&self, token: Token) -> bool {
         token == self.token || self.clients.contains_key(&token)
     }
 
-    /// Accepts who waits; `true`: there may be more.
+    /// Accepts waiting connections; returns whether more may be waiting.
     fn accept(&mut self, now: Micros, event_loop: &mut EventLoop) -> bool {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Ok((mut stream, _)) = self.listener.accept() else { return false };
             let interest = Interest::READABLE | Interest::WRITABLE;
             let Ok(token) = event_loop.add(&mut stream, interest) else { continue };
-            if let Some(evicted) = self.places.come(token, now) {
+            if let Some(evicted) = self.slots.come(token, now) {
                 self.clients.remove(&evicted);
             }
             self.clients.insert(token, AdminClient { stream, received: Vec::new(), answer: None });
@@ -75,26 +75,26 @@
 
     fn close(&mut self, token: Token) {
         self.clients.remove(&token);
-        self.places.left(token);
+        self.slots.left(token);
     }
 
-    /// Closes connections whose time is over, and accepts those that no event reports: an accept may have failed for
-    /// want of a descriptor.
+    /// Closes connections that have timed out. It also accepts waiting connections, because no event reports
+    /// them after an accept that failed for lack of a descriptor.
     pub(super) fn sweep(&mut self, now: Micros, event_loop: &mut EventLoop) {
-        for token in self.places.overdue(now) {
+        for token in self.slots.overdue(now) {
             self.clients.remove(&token);
         }
         self.accept(now, event_loop);
     }
 
-    /// The command of a connection, once its line is whole. What is no command is answered here.
+    /// Returns the command of a connection once its line is complete. Invalid commands are answered here.
     fn read(&mut self, token: Token, now: Micros) -> Option<Call> {
         let client = self.clients.get_mut(&token)?;
         match client.read() {
             Ok(ReadOutcome::Command(command)) => Some(command),
             Ok(ReadOutcome::Pending) => None,
             Ok(ReadOutcome::Ended) => {
-                // Nobody waits, unless an answer is still being written.
+                // No operator waits for an answer, unless one is still being written.
                 if client.answer.as_ref().is_none_or(Vec::is_empty) {
                     self.close(token);
                 }
@@ -107,17 +107,17 @@
         }
     }
 
-    /// Gives a connection its answer.
+    /// Starts to write the answer on a connection.
     fn answer(&mut self, token: Token, now: Micros, text: String) {
         if let Some(client) = self.clients.get_mut(&token) {
             client.answer = Some(text.into_bytes());
-            self.places.called(token, now);
+            self.slots.called(token, now);
             self.write(token);
         }
     }
 
-    /// Writes on; after the last byte it closes its own side and waits for the operator's. A close over bytes that
-    /// were not read would be a reset, which can overtake the answer.
+    /// Writes the rest of the answer, then closes the sending side and waits until the operator has closed
+    /// its own. Closing a connection with unread input would reset it, and the reset can overtake the answer.
     fn write(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
         let Some(answer) = client.answer.as_mut().filter(|answer| !answer.is_empty()) else { return };
@@ -136,19 +136,19 @@
 }
 
 impl AdminClient {
-    /// Reads up to the end of the command's line, and what comes behind the command to no effect: who closes its side
-    /// after the line still waits for the answer.
+    /// Reads up to the end of the command's line, and discards further input. An operator that closes its
+    /// sending side after the line still gets the answer.
     fn read(&mut self) -> Result<ReadOutcome, crate::admin::NoCall> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut buffer = [0; READ_CHUNK];
         loop {
             if self.answer.is_none() {
                 if let Some(command) = Call::decode(&self.received)? {
                     return Ok(ReadOutcome::Command(command));
                 }
             }
-            match self.stream.read(&mut chunk) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return Ok(ReadOutcome::Ended),
-                Ok(count) if self.answer.is_none() => self.received.extend_from_slice(&chunk[..count]),
+                Ok(count) if self.answer.is_none() => self.received.extend_from_slice(&buffer[..count]),
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::Pending),
@@ -159,7 +159,7 @@
 }
 
 impl Proxy {
-    /// The admin listener or one of its connections is ready.
+    /// Handles readiness of the admin listener or one of its connections.
     pub(super) fn admin_ready(&mut self, event: Ready) {
         let Some(mut admin) = self.admin.take() else { return };
         if event.token == admin.token {
@@ -173,7 +173,7 @@
             if let Some(command) = admin.read(event.token, self.now) {
                 let answer = self.execute_command(command);
                 admin.answer(event.token, self.now, answer);
-                // What came behind the command is read away, so that the close is no reset.
+                // Input after the command is discarded, so that the close does not reset the connection.
                 admin.read(event.token, self.now);
             }
         }
--- a/src/proxy/configuration.rs
+++ b/src/proxy/configuration.rs
@@ -1,5 +1,5 @@
-//! The running configuration, and its reload at SIGHUP. A file that can't be used changes nothing; one that can't be
-//! opened for want of descriptors is tried again a moment later.
+//! The running configuration, and its reload on SIGHUP. A file that is invalid changes nothing; a file that
+//! can't be opened because descriptors ran out is read again a moment later.
 
 use super::timers::TimerEvent;
 use super::Proxy;
@@ -18,27 +18,27 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Connections to upstreams are closed after this part of the time after which endpoints close them, so that a command
-/// does not cross their close.
+/// Idle time after which upstream connections are closed, in tenths of the time after which endpoints close
+/// them, so that a command does not cross their close.
 const UPSTREAM_IDLE_TENTHS: u64 = 9;
 
-/// How many descriptors the system lets this process have.
+/// Returns the maximum number of descriptors of this process.
 pub(super) fn max_descriptors() -> usize {
     getrlimit(Resource::Nofile).current.map_or(usize::MAX, |count| count as usize)
 }
 
-/// What the process runs with, apart from the settings that the router shares.
+/// Configuration of the process, apart from the settings that it shares with the router.
 pub(super) struct Configuration {
     pub(super) listen: SocketAddr,
     pub(super) path: PathBuf,
-    /// The file of the product's own settings, where there is one.
+    /// Path of the product's settings, if there are any.
     pub(super) product_path: Option<PathBuf>,
-    /// Every key that the file has.
+    /// All keys in the configuration file.
     keys: BTreeSet<String>,
     pub(super) limits: Limits,
-    /// Bytes a second of one transfer from the local cache, and of all of them together.
+    /// Rates of the local cache in bytes per second: of one transfer, and of all transfers together.
     pub(super) local_cache_link: (f64, f64),
-    /// A reload that could not open its file yet.
+    /// Retries of a reload whose file could not be opened yet.
     reload_retries: Option<Retries>,
 }
 
@@ -56,30 +56,30 @@
     }
 }
 
-/// Why a reload came to nothing.
+/// Reason why a reload failed.
 enum ReloadFailure {
     /// The file could not be opened.
     Unreadable(io::Error, &'static str, String),
-    /// Its content can't be used.
+    /// The content is invalid.
     Unusable(&'static str, String),
 }
 
 impl Proxy {
-    /// A signal has come: the configuration is to be read again.
+    /// Starts a reload of the configuration after SIGHUP.
     pub(super) fn reload(&mut self) {
         self.configuration.reload_retries = Some(Retries::new(self.now));
         self.read_configuration();
     }
 
-    /// Reads again what could not be opened before. The timer of a signal that was followed by another one finds
-    /// nothing to do once that one's file was read.
+    /// Retries a reload whose file could not be opened. The timer may belong to an earlier signal whose
+    /// reload has been completed by a later one; it then does nothing.
     pub(super) fn retry_reload(&mut self) {
         if self.configuration.reload_retries.is_some() {
             self.read_configuration();
         }
     }
 
-    /// Whether a file that can't be opened now may be in a moment; then it is tried again.
+    /// Schedules a retry if the error may be temporary; returns whether it did.
     fn schedules_retry(&mut self, error: &io::Error) -> bool {
         let cause = startup::cause(error);
         let retries = self.configuration.reload_retries.as_mut();
@@ -94,7 +94,7 @@
         pause.is_some()
     }
 
-    /// Takes up the configuration file as it is now if it can be used; else all stays as it is.
+    /// Reads and applies the configuration file; if it can't be used, nothing changes.
     fn read_configuration(&mut self) {
         let (new, product) = match self.read_files() {
             Ok(files) => files,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Reads both files whole, before anything changes.
+    /// Reads both files completely before anything is changed.
     fn read_files(&self) -> Result<(Config, Option<Product>), ReloadFailure> {
         let not_used = "new configuration not used";
         let read = Config::read(self.configuration.path.clone()).and_then(|new| {
@@ -162,13 +162,13 @@
         }
     }
 
-    /// Tells the router the settings as they are now, with as many processes as there are.
+    /// Queues the current settings for the router, adjusted to the number of processes.
     pub(super) fn announce_settings(&mut self) {
         let settings = self.classes.for_router(&self.settings, self.has_other_process());
         self.events.push_back(Event::Settings(Box::new(settings)));
     }
 
-    /// Gives the classes of the settings their numbers and their counters.
+    /// Assigns numbers and counters to the classes of the settings.
     pub(super) fn adopt_classes(&mut self) {
         self.classes.apply(self.now, &self.settings);
         for class in &self.settings.classes {
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Takes the bounds from the limits and the settings. Where the process may open fewer descriptors than it is
-    /// configured for, the lesser counts.
+    /// Recomputes the bounds from the limits and settings. If the process may open fewer descriptors than are
+    /// configured, the lower number applies.
     pub(super) fn apply_limits(&mut self) {
         let mut limits = self.configuration.limits;
         let processes = 1 + usize::from(self.has_other_process());
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -1,5 +1,5 @@
-//! Standby, replacement by another process and SIGTERM, as they concern connections. What follows from each
-//! [`crate::lifecycle`] decides.
+//! Connection handling in standby, after replacement by another process, and on SIGTERM. [`crate::lifecycle`]
+//! decides what follows from each.
 
 use super::timers::TimerEvent;
 use super::Proxy;
@@ -11,10 +11,10 @@
 use std::io;
 
 impl Proxy {
-    /// Hands an event to the lifecycle, and carries out what changes by it.
+    /// Passes an event to the lifecycle, and applies the resulting change of phase.
     ///
     /// # Errors
-    /// The event is refused in the phase that the process is in.
+    /// The event is refused in the current phase.
     pub(super) fn advance_lifecycle(&mut self, event: Event) -> Result<(), CallRefused> {
         let (phase_before, accepted_before) = (self.lifecycle.phase(), self.lifecycle.accepts_connections());
         self.lifecycle.handle(self.now, event)?;
@@ -22,7 +22,7 @@
         if (phase, accepts) == (phase_before, accepted_before) {
             return Ok(());
         }
-        debug!(self.log, "phase"; "is" => ?phase, "was" => ?phase_before, "open" => self.requests.len());
+        debug!(self.log, "lifecycle phase changed"; "is" => ?phase, "was" => ?phase_before, "open" => self.requests.len());
         if self.lifecycle.takes_clients() {
             self.begin_serving();
         }
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Tells a client once that no new request is to come on its connection.
+    /// Tells a client, once, to send no new request on its connection.
     pub(super) fn tell_client_to_leave(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
         if client.is_told_to_leave {
@@ -52,19 +52,19 @@
         self.after_client_write(token);
     }
 
-    /// The process was told to end.
+    /// Starts the shutdown of the process.
     pub(super) fn shut_down(&mut self) {
         info!(self.log, "shutdown requested, draining"; "open" => self.requests.len());
         self.leave_gossip();
         let longest_deadline = self.classes.longest_deadline();
-        // A second signal to end changes nothing.
+        // A second shutdown signal has no effect.
         let _ = self.advance_lifecycle(Event::Terminate { longest_deadline });
         if let Some(at) = self.lifecycle.last_answer_at() {
             self.timers.set(at, TimerEvent::DrainDeadline);
         }
     }
 
-    /// The process may be killed any moment now: what is still open is answered while it can be.
+    /// Fails all open requests, because the process may be killed soon and can't answer them later.
     pub(super) fn fail_open_requests(&mut self) {
         let open: Vec<Id> = self.requests.unfinished().cloned().collect();
         for id in open {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Runs until the process was told to end, everything taken is answered, and every client has seen the end.
+    /// Runs until a shutdown is requested, everything accepted is answered, and all clients have seen the end
+    /// of their connections.
     ///
     /// # Errors
     /// The poll failed.
@@ -81,7 +82,7 @@
             while !self.is_drained() {
                 self.turn()?;
             }
-            // What came since the last turn is still served.
+            // Requests that arrived since the last turn are still served.
             for token in self.clients.tokens() {
                 self.read_client(token);
                 self.process_events();
@@ -90,21 +91,21 @@
                 break;
             }
         }
-        // It is on its way out whatever the lifecycle makes of it.
+        // The process ends whether or not the lifecycle accepts the event.
         let _ = self.advance_lifecycle(Event::Close);
         for token in self.clients.tokens() {
             self.finish_client(token);
         }
         self.process_events();
-        let until = self.lifecycle.closed_by(self.now);
-        self.timers.set(until, TimerEvent::DrainDeadline);
-        while !self.clients.is_empty() && self.now < until {
+        let deadline = self.lifecycle.closed_by(self.now);
+        self.timers.set(deadline, TimerEvent::DrainDeadline);
+        while !self.clients.is_empty() && self.now < deadline {
             self.turn()?;
         }
         Ok(())
     }
 
-    /// Whether the process was told to end and nothing is left to do.
+    /// Returns whether a shutdown was requested and no work is left.
     pub(super) fn is_drained(&self) -> bool {
         if self.lifecycle.phase() != Phase::Stopping {
             return false;
--- a/src/proxy/housekeeping.rs
+++ b/src/proxy/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic work: what no event reports is looked after four times a second, and metrics go into the log.
+//! Periodic work: checks for what no event reports, four times a second, and the logging of metrics.
 
 use super::configuration::max_descriptors;
 use super::timers::{TimerEvent, MILLISECOND};
@@ -9,13 +9,13 @@
 use slog::{info, warn};
 use std::sync::atomic::Ordering;
 
-/// Between two sweeps.
+/// Interval between two sweeps, in microseconds.
 pub(super) const SWEEP_INTERVAL: Micros = 250 * MILLISECOND;
-/// Between two reports of metrics.
+/// Interval between two reports of metrics, in microseconds.
 const REPORT_INTERVAL: Micros = 10_000 * MILLISECOND;
 
 impl Proxy {
-    /// Looks after idle and silent connections, clients that do not read, and what has expired.
+    /// Closes idle and silent connections and clients that do not read, and removes expired purges.
     pub(super) fn sweep(&mut self) {
         self.timers.set(self.now + SWEEP_INTERVAL, TimerEvent::Sweep);
         self.run_command_channel();
@@ -33,16 +33,19 @@
             takeover.sweep(self.now);
         }
         let open = self.requests.unfinished().count();
-        invariant!(self.admin_metrics.concurrent() == open as u64, "what is taken is open or has ended");
+        invariant!(
+            self.admin_metrics.concurrent() == open as u64,
+            "the requests counted as concurrent are the open ones"
+        );
     }
 
-    /// Reports the metrics, and sets the timer for the next time.
+    /// Logs the metrics and sets the timer for the next report.
     pub(super) fn report_periodically(&mut self) {
         self.report();
         self.timers.set(self.now + REPORT_INTERVAL, TimerEvent::MetricsReport);
     }
 
-    /// Writes the metrics into the log.
+    /// Logs the metrics.
     pub(super) fn report(&mut self) {
         let broken = BROKEN_INVARIANTS.load(Ordering::Relaxed);
         info!(self.log, "figures"; "counts" => %self.metrics, "replies" => %self.admin_metrics,
@@ -57,13 +60,13 @@
         self.discovery.report(self.now);
     }
 
-    /// Warns where the system gives the process fewer descriptors than it is configured for.
+    /// Warns if the process may open fewer descriptors than are configured.
     fn report_descriptors(&self) {
         let (available, configured) = (max_descriptors(), self.configuration.limits.sockets);
         if available < configured {
-            warn!(self.log, "fewer descriptors than the configuration says"; "limits.sockets" => configured,
-                  "process" => available, "remedy" => "kept to the lesser; raise the process's limit of open files \
-                  (ulimit -n), or lower 'limits.sockets'");
+            warn!(self.log, "process limit of open files is below the configured number of sockets"; "limits.sockets" => configured,
+                  "process" => available, "remedy" => "the lower number applies; raise the limit of open files \
+                  of the process (ulimit -n), or lower 'limits.sockets'");
         }
     }
 }
--- a/src/proxy/message_buffer.rs
+++ b/src/proxy/message_buffer.rs
@@ -1,19 +1,21 @@
-//! The messages that one turn of the loop brings on one connection, gathered before any of them is acted on.
+//! Messages received on one connection in one turn of the event loop, collected before any of them is
+//! handled.
 
 use crate::net::connection::Callbacks;
 use crate::net::protocol::Malformed;
 use bytes::BytesMut;
 
-/// Takes whole messages off the front of the bytes; `None` while none is whole.
+/// Removes one complete message from the front of the bytes and decodes it; returns `None` if no message is
+/// complete.
 type Decoder<M> = fn(&mut BytesMut) -> Result<Option<M>, Malformed>;
 
-/// Decodes what a connection receives and keeps it for its owner.
+/// Decodes the input of a connection and stores the messages for its owner.
 pub(super) struct MessageBuffer<M> {
     decode: Decoder<M>,
     pub(super) messages: Vec<M>,
-    /// Why bytes behind the messages can't be read.
+    /// Error in the bytes that follow the messages.
     pub(super) error: Option<Malformed>,
-    /// The dial has come through.
+    /// Whether the dial has completed.
     pub(super) has_opened: bool,
     pub(super) has_received: bool,
 }
--- a/src/proxy/metrics.rs
+++ b/src/proxy/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters of the proxy for the periodic line in the log.
+//! Counters of the proxy for the periodic log line.
 //!
-//! Every part of the proxy counts here; housekeeping writes the line. What operators read at the admin endpoint is
-//! counted apart, in [`crate::admin`].
+//! All parts of the proxy update them; housekeeping logs them. The counters that the admin endpoint reports
+//! are kept separately, in [`crate::admin`].
 
 use crate::routing::events::Micros;
 use std::fmt;
@@ -9,49 +9,49 @@
 /// Counters since the start of the process, and two maxima since the last report.
 #[derive(Default)]
 pub(super) struct Metrics {
-    /// Requests taken from clients.
+    /// Requests received from clients.
     pub(super) requests: u64,
-    /// Requests whose client cancelled them or went away.
+    /// Requests that their client cancelled or abandoned by disconnecting.
     pub(super) abandoned_requests: u64,
-    /// Attempts begun.
+    /// Attempts started.
     pub(super) attempts: u64,
-    /// Attempts that were not worth writing any more once they could have been written.
+    /// Attempts that had to wait and were no longer valid when they could be written.
     pub(super) dropped_attempts: u64,
     /// Dials to upstreams.
     pub(super) dials: u64,
     pub(super) failed_dials: u64,
-    /// Upstream connections that ended under unfinished attempts.
+    /// Upstream connections that ended with unfinished attempts.
     pub(super) lost_connections: u64,
-    /// Responses to attempts that had been given up.
+    /// Responses to attempts that had already ended.
     pub(super) late_responses: u64,
     /// Requests served from the local cache.
     pub(super) local_cache_hits: u64,
-    /// Clients refused for a breach of the protocol.
+    /// Clients that violated the protocol.
     pub(super) client_protocol_errors: u64,
-    /// Upstream connections closed over a response that can't be read or is incomplete.
+    /// Upstream connections closed because of a malformed or incomplete response.
     pub(super) upstream_protocol_errors: u64,
     pub(super) accept_failures: u64,
-    /// Connections evicted that had never sent a whole message.
+    /// Client connections evicted before they had sent a complete message.
     pub(super) evicted_silent_clients: u64,
-    /// Connections evicted that had no open request.
+    /// Client connections evicted while they had no open request.
     pub(super) evicted_idle_clients: u64,
-    /// Connections closed at once since all others were in use.
+    /// Client connections closed right after the accept because all others were in use.
     pub(super) rejected_clients: u64,
-    /// The longest delay of a timer, in microseconds.
+    /// Longest delay of a timer, in microseconds.
     pub(super) max_timer_delay: Micros,
-    /// The longest time from one wait for events to the next, in microseconds.
+    /// Longest time between two waits for events, in microseconds.
     pub(super) max_turn_duration: Micros,
 }
 
 impl Metrics {
-    /// Begins a new interval for what is reported as a maximum.
+    /// Resets the maxima at the start of a new reporting interval.
     pub(super) fn reset_maxima(&mut self) {
         self.max_timer_delay = 0;
         self.max_turn_duration = 0;
     }
 }
 
-/// The form of the log line. Operators' tools read its keys, so these stay whatever the fields are called.
+/// Format of the log line. Operators' tools parse its keys, so they must stay when fields are renamed.
 impl fmt::Display for Metrics {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
--- a/src/proxy/predecessor.rs
+++ b/src/proxy/predecessor.rs
@@ -1,5 +1,5 @@
-//! The successor's side of a takeover at its start: looks for a process of this instance that takes clients, and asks it
-//! for its listener. Whatever of it fails, the start goes on without.
+//! The successor's side of a takeover: at its start a process looks for a running process of the same
+//! instance and asks it for its listener. If a step fails, the process starts without a predecessor.
 
 use super::takeover_files::TakeoverFiles;
 use crate::lifecycle::startup::Cause;
@@ -14,26 +14,27 @@
 use std::os::unix::net::UnixStream as BlockingStream;
 use std::time::Duration;
 
-/// How long a starting process waits for the predecessor's answer, which that gives within a turn.
+/// Maximum time that a starting process waits for the predecessor's answer; the predecessor answers within
+/// one turn of its event loop.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The predecessor, as a starting process has found it.
+/// A running process of this instance that was found at the start.
 pub(super) struct Predecessor {
     pub stream: UnixStream,
-    /// The listener that it handed over.
+    /// Listener that the predecessor handed over.
     pub listener: Option<TcpListener>,
 }
 
-/// What the predecessor has answered.
+/// Answer of the predecessor.
 struct Answer {
     line: FromPredecessor,
     listener: Option<std::net::TcpListener>,
 }
 
-/// Looks for a process of this instance that takes clients, and asks it for its listener.
+/// Looks for a process of this instance that serves clients, and asks it for its listener.
 ///
 /// # Errors
-/// The predecessor has a successor already, or the system lacks something for a moment.
+/// The predecessor has a successor already, or the system lacks a resource for a moment.
 pub(super) fn find(files: &TakeoverFiles, log: &Logger) -> io::Result<Option<Predecessor>> {
     let Some(mut stream) = connect(files, log)? else { return Ok(None) };
     match greet(&mut stream, files) {
@@ -42,7 +43,7 @@
             Ok(Some(Predecessor { stream, listener }))
         }
         Ok(Answer { line: FromPredecessor::Busy, .. }) => {
-            Err(io::Error::other("another process is taking over already; start one at a time"))
+            Err(io::Error::other("another process is taking over already; start one process at a time"))
         }
         Ok(Answer { line: FromPredecessor::Refused(reason), .. }) => {
             warn!(log, "takeover refused by the predecessor"; "reason" => reason);
@@ -56,24 +57,26 @@
 }
 
 fn connect(files: &TakeoverFiles, log: &Logger) -> io::Result<Option<BlockingStream>> {
-    // Without blocking: to connect to a process that hangs, and whose queue is full, would wait without end.
+    // The connect does not block, because a connect to a hanging process whose queue is full would wait
+    // forever.
     match UnixStream::connect(files.socket()) {
         Ok(stream) => Ok(Some(stream.into())),
         Err(error) if error.kind() == ErrorKind::WouldBlock => {
-            warn!(log, "the predecessor accepts no connections"; "error" => %error);
+            warn!(log, "predecessor accepts no connections"; "error" => %error);
             Ok(None)
         }
-        // What fails for a moment is tried again: else two processes would not know of each other.
+        // An error that may be temporary is returned, so that the start is retried: otherwise two processes
+        // would run without knowing of each other.
         Err(error) if cause(&error) == Cause::Resource => Err(error),
         Err(error) => {
-            // There was no process before this one, or it left its socket's name behind.
+            // No process ran before this one, or it left its socket file behind.
             debug!(log, "no predecessor"; "error" => %error);
             Ok(None)
         }
     }
 }
 
-/// Says who this process is, and receives the answer with the listener.
+/// Identifies this process to the predecessor, and receives the answer with the listener.
 fn greet(stream: &mut BlockingStream, files: &TakeoverFiles) -> io::Result<Answer> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
@@ -84,7 +87,7 @@
     Ok(answer)
 }
 
-/// Receives a line; a descriptor that comes along is used if it listens at `address`.
+/// Receives one line; a descriptor sent with it is used if it is a listener bound to `address`.
 fn receive(stream: &BlockingStream, address: SocketAddr) -> io::Result<Answer> {
     let mut text = [0; MAX_LINE_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -1,5 +1,5 @@
-//! The start of a proxy: sockets are opened, what a process before this one left is taken over, and the endpoints that
-//! the configuration lists are announced.
+//! Start of a proxy: opens the sockets, takes over the state of the predecessor, and announces the endpoints
+//! of the configuration.
 
 use super::admin::AdminServer;
 use super::client_admission::ClientListener;
@@ -37,32 +37,32 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Most connections to one endpoint.
+/// Maximum number of connections to one endpoint.
 const MAX_CONNECTIONS_PER_ENDPOINT: usize = 16;
 
-/// Sees each event that the router is handed, in order.
+/// Callback that receives each event before the router handles it, in order.
 pub type EventObserver = Box<dyn FnMut(&Event)>;
 
-/// What a proxy is started with.
+/// Inputs of the start of a proxy.
 pub struct Startup {
-    /// The configuration.
+    /// Configuration.
     pub config: Config,
-    /// The product's own settings, and the file that they are from.
+    /// The product's settings, with the path of their file.
     pub product: Option<(PathBuf, Product)>,
-    /// Its clock.
+    /// Clock of the event loop.
     pub clock: Clock,
-    /// Its log.
+    /// Log of the process.
     pub log: Logger,
-    /// Watches what the router is told, from the start on.
+    /// Observer of the router's events, from the start on.
     pub event_observer: Option<EventObserver>,
 }
 
-/// An error of the start with the step that it ended.
+/// Adds the step that failed to an error of the start.
 fn step_failed(step: &str, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{step}: {error}"))
 }
 
-/// Repeats steps of the start that may succeed a moment later, until the process is told to end.
+/// Retries steps of the start that may succeed a moment later, until a shutdown is requested.
 struct Retry<'a> {
     clock: &'a Clock,
     flags: SignalFlags,
@@ -71,13 +71,13 @@
 
 impl Retry<'_> {
     fn run<T>(&self, step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-        let is_ending = || self.flags.is_shutdown_requested();
+        let is_shutdown_requested = || self.flags.is_shutdown_requested();
         let report = |error: &io::Error| warn!(self.log, "can't start yet, trying again"; "error" => %error);
-        persist(self.clock, &is_ending, &report, step)
+        persist(self.clock, &is_shutdown_requested, &report, step)
     }
 }
 
-/// What is opened before there is a proxy.
+/// Sockets that are opened before the proxy is created.
 struct Sockets {
     listener: ClientListener,
     takeover: Option<Takeover>,
@@ -106,15 +106,15 @@
 fn open_admin(address: SocketAddr, event_loop: &mut EventLoop, retry: &Retry) -> io::Result<AdminServer> {
     retry
         .run(|| AdminServer::open(address, event_loop))
-        .map_err(|error| step_failed(&format!("the door for operators at {address}"), &error))
+        .map_err(|error| step_failed(&format!("can't open the admin endpoint at {address}"), &error))
 }
 
 impl Proxy {
-    /// Listens, takes the list of endpoints from the configuration and is ready to run. The loop has received signals
-    /// from the first moment of the process on.
+    /// Opens the sockets and applies the endpoints of the configuration. The event loop has received signals
+    /// since the process started.
     ///
     /// # Errors
-    /// A socket can't be opened, or the product's settings contradict the others.
+    /// A socket can't be opened, or the product's settings contradict the other settings.
     pub fn start(mut event_loop: EventLoop, startup: Startup) -> io::Result<Self> {
         let Startup { mut config, product, clock, log, event_observer } = startup;
         let (product_path, product) = product.unzip();
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Takes the endpoint list from a registry.
+    /// Makes a registry the source of the endpoint list.
     fn follow_registry(&mut self, registry: Registry, seed: u64) {
         let names =
             Names { kinds: self.settings.kinds.clone(), zones: self.settings.failure_domains.clone() };
--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -1,11 +1,11 @@
-//! One process takes over from another, joined to the loop: the Unix socket on which a successor is awaited, the listener
-//! that is handed over, and what both processes share meanwhile. Who may take over `crate::takeover` decides. Whatever of
-//! it fails, the process goes on without.
+//! Takeover of an instance by a new process: the Unix socket on which the running process awaits its
+//! successor, the handover of the listener, and the limits that both processes share meanwhile.
+//! `crate::takeover` decides which process may take over. If a step fails, the process continues without it.
 
 use super::clients::Client;
 use super::predecessor::Predecessor;
 use super::purges::ReceivedPurge;
-use super::takeover_files::{own_name, TakeoverFiles};
+use super::takeover_files::{temporary_path, TakeoverFiles};
 use super::Proxy;
 use crate::config::platform::Config;
 use crate::lifecycle::Event as LifecycleEvent;
@@ -25,20 +25,20 @@
 use std::mem::MaybeUninit;
 use std::os::fd::AsFd;
 
-/// How long a visitor may take for its first line; a successor sends it at once.
+/// Time in which a connected process must send its first line, in microseconds; a successor sends it at once.
 const HELLO_TIMEOUT: Micros = 2_000_000;
-/// Processes that may be connected to the socket at a time.
-const MAX_VISITORS: usize = 2;
+/// Maximum number of processes that are connected to the socket at a time.
+const MAX_CONNECTED_PROCESSES: usize = 2;
 
-/// The socket on which clients connect, as it was opened.
+/// Listener for clients, as it was opened.
 pub(super) struct OpenedSocket {
     pub socket: TcpListener,
-    /// It was handed over, and the predecessor accepts from the same queue.
+    /// Whether the predecessor handed the listener over; both processes then accept from the same queue.
     pub is_shared: bool,
 }
 
 impl OpenedSocket {
-    /// The listener that the predecessor handed over, or one of this process's own.
+    /// Returns the listener that the predecessor handed over, or opens a new one.
     ///
     /// # Errors
     /// The address can't be listened on.
@@ -53,46 +53,47 @@
     }
 }
 
-/// The socket on which a successor is awaited.
+/// Unix socket on which a successor is awaited.
 struct SuccessorSocket {
     token: Token,
     listener: UnixListener,
 }
 
-/// The connection to the predecessor.
+/// Connection to the predecessor.
 struct PredecessorLink {
     token: Token,
     stream: UnixStream,
 }
 
 /// A process that has connected to the socket.
-struct Visitor {
+struct ConnectedProcess {
     stream: UnixStream,
     received: Vec<u8>,
     connected_at: Micros,
 }
 
-/// What was read of a visitor.
+/// Result of reading from a connected process.
 enum Received {
     Line(Vec<u8>),
-    /// Its next line is not complete.
+    /// The next line is not complete yet.
     Incomplete,
-    /// It has ended its connection, or keeps to no limit.
+    /// The connection has ended, or the line is too long.
     Closed,
 }
 
-/// Both sides of a takeover in one process: its predecessor and its successor.
+/// Takeover state of one process, with its predecessor and its successor.
 pub(super) struct Takeover {
     files: TakeoverFiles,
     socket: Option<SuccessorSocket>,
     offers: Offers<Token>,
-    visitors: FxHashMap<Token, Visitor>,
+    connected: FxHashMap<Token, ConnectedProcess>,
     predecessor: Option<PredecessorLink>,
     /// See [`OpenedSocket::is_shared`].
     shares_listener: bool,
-    /// This process has taken clients, and the predecessor knows.
+    /// Whether this process serves clients and its predecessor has been told so.
     is_serving: bool,
-    /// The listener waits for that: what connects is the predecessor's.
+    /// Whether accepting is paused until this process serves; until then the predecessor accepts the
+    /// connections.
     has_paused_accepting: bool,
 }
 
@@ -111,7 +112,7 @@
             offers: Offers::new(files.identity.clone()),
             files,
             socket: None,
-            visitors: FxHashMap::default(),
+            connected: FxHashMap::default(),
             predecessor,
             shares_listener,
             is_serving: false,
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Whether what became ready is the takeover's.
+    /// Returns whether a token belongs to the takeover.
     pub fn owns(&self, token: Token) -> bool {
-        self.visitors.contains_key(&token) || self.is_socket(token) || self.is_predecessor(token)
+        self.connected.contains_key(&token) || self.is_socket(token) || self.is_predecessor(token)
     }
 
     fn is_socket(&self, token: Token) -> bool {
@@ -132,76 +133,81 @@
         self.predecessor.as_ref().is_some_and(|predecessor| predecessor.token == token)
     }
 
-    /// Whether the instance has two processes now.
+    /// Returns whether another process of this instance is running.
     pub fn has_other_process(&self) -> bool {
         self.predecessor.is_some() || self.offers.has_successor()
     }
 
-    /// What the predecessor left in force.
+    /// Returns the state that the predecessor left.
     fn inherited_state(&self, log: &Logger) -> Option<TakeoverState> {
         self.predecessor.as_ref()?;
         let state = self.files.read_state();
-        state.map_err(|error| warn!(log, "state of the predecessor not used"; "error" => %error)).ok()
+        state
+            .map_err(|error| warn!(log, "takeover state of the predecessor rejected"; "error" => %error))
+            .ok()
     }
 
-    /// Opens the socket, so that a successor finds this process.
+    /// Opens the socket on which a successor finds this process.
     fn await_successor(&mut self, now: Micros, event_loop: &mut EventLoop, log: &Logger) {
         match bind_socket(&self.files, event_loop) {
             Ok(socket) => {
-                // A successor may have connected by the old name a moment ago. Closed unheard it would start without
-                // knowing of this process, and both would take all of the bounds.
-                self.accept_visitors(now, event_loop);
+                // A successor may just have connected to the old socket. If its connection were closed
+                // unread, it would start without knowing of this process, and both would use the full limits.
+                self.accept_processes(now, event_loop);
                 self.socket = Some(socket);
             }
             Err(error) => warn!(log, "a successor will not find this process"; "error" => %error),
         }
     }
 
-    /// This process takes clients: its predecessor hears of it, and a successor finds it from now on.
+    /// Tells the predecessor that this process serves clients, and opens the socket for a successor.
     fn announce_serving(&mut self, now: Micros, event_loop: &mut EventLoop, log: &Logger) {
         if std::mem::replace(&mut self.is_serving, true) {
             return;
         }
         if let Some(PredecessorLink { stream, .. }) = &mut self.predecessor {
             let line = encode_line(&FromSuccessor::Serving { shared_listener: self.shares_listener });
-            // A socket holds far more than a line; where this fails the predecessor's end is heard of later.
+            // A socket's buffer holds far more than one line. If the write fails, the connection reports the
+            // predecessor's end later.
             if let Err(error) = stream.write_all(&line) {
-                warn!(log, "the predecessor was not told of its successor"; "error" => %error);
+                warn!(log, "predecessor not notified of its successor"; "error" => %error);
             }
         }
         self.await_successor(now, event_loop, log);
     }
 
-    /// Closes visitors that have connected and sent no line: there are few places.
+    /// Closes processes that have connected without sending a line, because the number of connections is
+    /// limited.
     pub fn sweep(&mut self, now: Micros) {
         let offers = &self.offers;
-        self.visitors.retain(|token, visitor| {
-            offers.is_successor(*token) || now.saturating_sub(visitor.connected_at) < HELLO_TIMEOUT
+        self.connected.retain(|token, process| {
+            offers.is_successor(*token) || now.saturating_sub(process.connected_at) < HELLO_TIMEOUT
         });
     }
 
-    fn accept_visitors(&mut self, now: Micros, event_loop: &mut EventLoop) {
+    fn accept_processes(&mut self, now: Micros, event_loop: &mut EventLoop) {
         let Some(SuccessorSocket { listener, .. }) = &self.socket else { return };
         while let Ok((mut stream, _)) = listener.accept() {
-            // One that finds no place is closed, and starts without a predecessor.
-            if self.visitors.len() < MAX_VISITORS {
+            // A process beyond the maximum is disconnected, and starts without a predecessor.
+            if self.connected.len() < MAX_CONNECTED_PROCESSES {
                 if let Ok(token) = event_loop.add(&mut stream, Interest::READABLE) {
-                    let visitor = Visitor { stream, received: Vec::new(), connected_at: now };
-                    self.visitors.insert(token, visitor);
+                    let process = ConnectedProcess { stream, received: Vec::new(), connected_at: now };
+                    self.connected.insert(token, process);
                 }
             }
         }
     }
 
-    /// Whether the predecessor has ended: it sends nothing more, so that all that can come is its end.
+    /// Returns whether the predecessor has ended. It sends nothing more, so that any input is the end of the
+    /// connection.
     fn predecessor_has_ended(&mut self) -> bool {
         let Some(PredecessorLink { stream, .. }) = &mut self.predecessor else { return false };
         !matches!(stream.read(&mut [0; 64]), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Reads a visitor's next line.
+    /// Reads the next line of a connected process.
     fn read_line(&mut self, token: Token) -> Received {
-        let Some(Visitor { stream, received, .. }) = self.visitors.get_mut(&token) else {
+        let Some(ConnectedProcess { stream, received, .. }) = self.connected.get_mut(&token) else {
             return Received::Incomplete;
         };
         let mut chunk = [0; MAX_LINE_BYTES];
@@ -221,63 +227,65 @@
         }
     }
 
-    /// Hands the listener over to a visitor.
+    /// Hands the listener over to a connected process.
     fn offer(&mut self, token: Token, listener: &TcpListener) -> io::Result<()> {
-        let Some(visitor) = self.visitors.get(&token) else { return Err(ErrorKind::NotConnected.into()) };
+        let Some(process) = self.connected.get(&token) else { return Err(ErrorKind::NotConnected.into()) };
         let line = encode_line(&FromPredecessor::Offer);
         let descriptors = [listener.as_fd()];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(&descriptors));
-        sendmsg(&visitor.stream, &[IoSlice::new(&line)], &mut control, SendFlags::NOSIGNAL)?;
+        sendmsg(&process.stream, &[IoSlice::new(&line)], &mut control, SendFlags::NOSIGNAL)?;
         Ok(())
     }
 
-    /// Sends a visitor the reason and ends its connection, which tells it the same if the line is lost.
+    /// Sends a connected process the reason for a refusal and closes its connection, which shows the refusal
+    /// even if the line is lost.
     fn refuse(&mut self, token: Token, reason: &FromPredecessor) {
-        if let Some(mut visitor) = self.visitors.remove(&token) {
-            let _ = visitor.stream.write_all(&encode_line(reason));
+        if let Some(mut process) = self.connected.remove(&token) {
+            let _ = process.stream.write_all(&encode_line(reason));
         }
     }
 }
 
-/// Binds the socket under a name of its own first: the known name never leads to one that nobody listens on.
+/// Binds the socket under a temporary name and then renames it, so that the known name never refers to a
+/// socket without a listener.
 fn bind_socket(files: &TakeoverFiles, event_loop: &mut EventLoop) -> io::Result<SuccessorSocket> {
     let path = files.socket();
-    let new = own_name(&path);
-    // Left by an earlier process of the same number.
-    let _ = std::fs::remove_file(&new);
-    let bound = UnixListener::bind(&new).and_then(|mut listener| {
+    let temporary = temporary_path(&path);
+    // The file may be left from an earlier process with the same process id.
+    let _ = std::fs::remove_file(&temporary);
+    let bound = UnixListener::bind(&temporary).and_then(|mut listener| {
         let token = event_loop.add(&mut listener, Interest::READABLE)?;
-        std::fs::rename(&new, &path)?;
+        std::fs::rename(&temporary, &path)?;
         Ok(SuccessorSocket { token, listener })
     });
     if bound.is_err() {
-        let _ = std::fs::remove_file(&new);
+        let _ = std::fs::remove_file(&temporary);
     }
     bound
 }
 
 impl Proxy {
-    /// Whether another process of this instance runs.
+    /// Returns whether another process of this instance is running.
     pub(super) fn has_other_process(&self) -> bool {
         self.takeover.as_ref().is_some_and(Takeover::has_other_process)
     }
 
-    /// Takes what became ready of the takeover.
+    /// Handles readiness of the takeover's sockets.
     pub(super) fn takeover_ready(&mut self, event: Ready) {
         let Some(mut takeover) = self.takeover.take() else { return };
         let had_other_process = takeover.has_other_process();
         let mut lifecycle_event = None;
         if takeover.is_socket(event.token) {
-            takeover.accept_visitors(self.now, &mut self.event_loop);
+            takeover.accept_processes(self.now, &mut self.event_loop);
         } else if takeover.is_predecessor(event.token) {
             if takeover.predecessor_has_ended() {
                 info!(self.log, "the process before has ended");
                 takeover.predecessor = None;
             }
         } else {
-            lifecycle_event = self.visitor_ready(&mut takeover, event.token);
+            lifecycle_event = self.process_ready(&mut takeover, event.token);
         }
         let has_changed = takeover.has_other_process() != had_other_process;
         let has_predecessor = takeover.predecessor.is_some();
@@ -286,16 +294,16 @@
             self.resume_accepting();
         }
         if has_changed {
-            self.share_bounds();
+            self.update_shared_limits();
         }
         if let Some(event) = lifecycle_event {
-            // Only what operators call for can be refused.
+            // Only events that operators cause can be refused.
             let _ = self.advance_lifecycle(event);
         }
     }
 
-    /// A visitor has sent something or has ended; what follows for this process.
-    fn visitor_ready(&mut self, takeover: &mut Takeover, token: Token) -> Option<LifecycleEvent> {
+    /// Handles input or the end of a connected process; returns the lifecycle event that follows.
+    fn process_ready(&mut self, takeover: &mut Takeover, token: Token) -> Option<LifecycleEvent> {
         let mut lifecycle_event = None;
         loop {
             let line = match takeover.read_line(token) {
@@ -321,17 +329,18 @@
                 Action::Nothing => {}
             }
         }
-        takeover.visitors.remove(&token);
+        takeover.connected.remove(&token);
         if takeover.offers.ended(token) {
             info!(self.log, "the successor has ended");
-            // The socket's name led to the successor since it served.
+            // The socket's path has referred to the successor's socket since it began to serve.
             takeover.await_successor(self.now, &mut self.event_loop, &self.log);
             return Some(LifecycleEvent::SuccessorEnded);
         }
         lifecycle_event
     }
 
-    /// Leaves the successor the state and hands the listener over; whether that went.
+    /// Writes the state for the successor and hands the listener over; returns whether the handover
+    /// succeeded.
     fn offer_listener(&self, takeover: &mut Takeover, token: Token) -> bool {
         info!(self.log, "another process takes over");
         let state = TakeoverState {
@@ -340,7 +349,7 @@
             written_ms: Some(self.timestamps.unix_ms(self.now)),
         };
         if let Err(error) = takeover.files.write_state(&state) {
-            warn!(self.log, "no state left for the successor"; "error" => %error);
+            warn!(self.log, "takeover state for the successor not written"; "error" => %error);
         }
         match takeover.offer(token, &self.listener.socket) {
             Ok(()) => true,
@@ -362,7 +371,7 @@
         self.purges.iter().map(in_force).collect()
     }
 
-    /// Takes up what the predecessor left in force.
+    /// Applies the state that the predecessor left.
     pub(super) fn inherit_state(&mut self) {
         self.pause_accepting();
         let takeover = self.takeover.as_ref();
@@ -377,7 +386,7 @@
         }
     }
 
-    /// Clients are taken for the first time.
+    /// Announces that this process serves clients, and resumes accepting.
     pub(super) fn begin_serving(&mut self) {
         if let Some(takeover) = &mut self.takeover {
             takeover.announce_serving(self.now, &mut self.event_loop, &self.log);
@@ -385,8 +394,9 @@
         self.resume_accepting();
     }
 
-    /// Leaves what connects to a shared listener to the predecessor, which serves: while this process has no list of
-    /// endpoints it could only turn clients away, and tell the front that it is not ready.
+    /// Leaves the connections of a shared listener to the predecessor, which is serving. While this process
+    /// has no endpoint list, it could only reject clients, and would report itself as not ready to the load
+    /// balancer.
     fn pause_accepting(&mut self) {
         let takeover = self.takeover.as_mut();
         if let Some(takeover) = takeover.filter(|t| t.shares_listener && t.predecessor.is_some()) {
@@ -394,20 +404,21 @@
         }
     }
 
-    /// Accepts connections from now on: this process serves, or no other does.
+    /// Resumes accepting once this process serves, or no other process does.
     fn resume_accepting(&mut self) {
         let Some(takeover) = self.takeover.as_mut().filter(|t| t.has_paused_accepting) else { return };
         takeover.has_paused_accepting = false;
         match self.event_loop.add(&mut self.listener.socket, Interest::READABLE) {
             Ok(token) => self.listener.token = token,
-            Err(error) => warn!(self.log, "no events of the listener"; "error" => %error),
+            Err(error) => warn!(self.log, "client listener not registered with the poll"; "error" => %error),
         }
         self.accept();
     }
 
-    /// The number of processes has changed: two have half of the bounds each, and of what cold endpoints bear. What is
-    /// idle above the bounds is closed at once, what is in use as it ends.
-    fn share_bounds(&mut self) {
+    /// Updates the limits after the number of processes has changed: two processes get half of each limit,
+    /// and of the load that cold endpoints can take. Idle connections above the limits are closed at once,
+    /// those in use when they end.
+    fn update_shared_limits(&mut self) {
         self.apply_limits();
         self.announce_settings();
         self.close_idle_upstreams();
@@ -421,7 +432,8 @@
         }
     }
 
-    /// Closes the clients that have been idle longest. A request that has come in part is in use.
+    /// Closes the client connections that have been idle longest. A connection with a partial message is in
+    /// use.
     fn close_idle_clients(&mut self) {
         let is_idle =
             |client: &Client| client.is_idle() && client.conn.is_open() && !client.conn.has_partial_message();
--- a/src/proxy/timers.rs
+++ b/src/proxy/timers.rs
@@ -1,43 +1,43 @@
-//! The meaning of each timer that the event loop keeps for the proxy.
+//! Timers of the proxy.
 //!
-//! A timer is never cancelled: whoever handles one looks whether it still means anything. The variants that carry a
-//! moment do so to tell the timer that counts from an older one that was replaced by it.
+//! A timer is never cancelled: its handler checks whether it still applies. Some variants contain a time,
+//! which distinguishes the current timer from an older one that it has replaced.
 
 use crate::routing::events::{Id, Micros};
 use mio::Token;
 
-/// One millisecond in the unit of the clock.
+/// One millisecond, in microseconds.
 pub(super) const MILLISECOND: Micros = 1_000;
 
-/// What is due when a timer fires.
+/// Event that a timer triggers.
 #[derive(Debug)]
 pub(super) enum TimerEvent {
-    /// A timer of the router's, by its token.
+    /// A timer of the router, by its token.
     Router(u64),
-    /// An attempt, given by its request and number, has used up its time.
+    /// The deadline of an attempt, given by its request and number.
     AttemptDeadline(Id, u32),
-    /// A request has used up nearly all of the time that its client waits.
+    /// Nearly all of the client's timeout for a request has passed.
     RequestDeadline(Id),
-    /// A dial to an upstream has used up its time.
+    /// The timeout of a dial to an upstream.
     DialDeadline(Token),
-    /// A partly received upstream response must have gone on by now.
+    /// The timeout for more input of a partly received upstream response.
     ResponseStall(Token),
-    /// Periodic checks for what no readiness event reports.
+    /// The periodic checks for what no readiness event reports.
     Sweep,
-    /// Metrics go into the log.
+    /// The periodic log line with the metrics.
     MetricsReport,
-    /// Accepting client connections is tried again.
+    /// A retry of accepting client connections.
     AcceptRetry,
-    /// The command channel wants its checks.
+    /// The next check of the command channel.
     CommandChannel(Micros),
-    /// The configuration, which could not be opened, is tried again.
+    /// A retry of a configuration reload whose file could not be opened.
     ReloadRetry,
-    /// The registry's driver wants a turn.
+    /// The next turn of the registry's driver.
     Registry(Micros),
-    /// The gossip with peers wants a turn.
+    /// The next step of the gossip with peers.
     Gossip(Micros),
-    /// What the instances decide together wants a turn.
+    /// The next turn of the fleet.
     Fleet(Micros),
-    /// The last moment to answer or to close before the process ends.
+    /// The last time to answer or to close connections before the process ends.
     DrainDeadline,
 }
