--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -52,7 +52,7 @@
     /// Requests that await their response, by stream.
     pub(super) open_streams: FxHashMap<u32, Id>,
     /// Whether the client has been told to send no new request on this connection.
-    pub(super) is_told_to_leave: bool,
+    pub(super) has_sent_going_away: bool,
     /// Number of requests cancelled, less those answered since.
     unanswered_cancels: u32,
     /// Number of complete messages received.
@@ -89,7 +89,7 @@
             conn: Connection::accepted(stream, now),
             last_stream: 0,
             open_streams: FxHashMap::default(),
-            is_told_to_leave: false,
+            has_sent_going_away: false,
             unanswered_cancels: 0,
             message_count: 0,
             message_awaited_since: Some(now),
@@ -374,7 +374,7 @@
         let is_idle = |client: &Client| {
             let idle_time = since(client.last_used);
             let connection = IdleConnection {
-                is_leaving: client.is_told_to_leave,
+                is_leaving: client.has_sent_going_away,
                 had_request: client.has_sent_message(),
                 idle: idle_time,
             };
@@ -477,7 +477,7 @@
             }
             ClientMessage::Request { stream, request } => {
                 if self.lifecycle.sends_clients_away() {
-                    self.tell_client_to_leave(token);
+                    self.send_going_away(token);
                 }
                 // Writing the notice may have shown that the client has disconnected.
                 if !self.clients.contains(&token) {
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -34,19 +34,19 @@
         }
         if self.lifecycle.sends_clients_away() {
             for token in self.clients.tokens() {
-                self.tell_client_to_leave(token);
+                self.send_going_away(token);
             }
         }
         Ok(())
     }
 
     /// Tells a client, once, to send no new request on its connection.
-    pub(super) fn tell_client_to_leave(&mut self, token: Token) {
+    pub(super) fn send_going_away(&mut self, token: Token) {
         let Some(client) = self.clients.get_mut(&token) else { return };
-        if client.is_told_to_leave {
+        if client.has_sent_going_away {
             return;
         }
-        client.is_told_to_leave = true;
+        client.has_sent_going_away = true;
         client.conn.queue(frames::encode_leaving());
         client.conn.flush(self.now);
         self.after_client_write(token);
--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -395,8 +395,7 @@
     }
 
     /// Leaves the connections of a shared listener to the predecessor, which is serving. While this process
-    /// has no endpoint list, it could only reject clients, and would report itself as not ready to the load
-    /// balancer.
+    /// has no endpoint list, it could only reject clients and report that it is not ready.
     fn pause_accepting(&mut self) {
         let takeover = self.takeover.as_mut();
         if let Some(takeover) = takeover.filter(|t| t.shares_listener && t.predecessor.is_some()) {
