--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -199,7 +199,7 @@
     }
 
     fn gauges(&self) -> Gauges {
-        let listed = self.discovery.membership.counts();
+        let listed = self.discovery.endpoint_list.counts();
         Gauges {
             targets: listed.ready + listed.draining + listed.shadowed,
             avoided: self.router.avoided(),
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -99,7 +99,7 @@
         else {
             return false;
         };
-        let serves = |id: &str| self.discovery.membership.accepts_requests(id);
+        let serves = |id: &str| self.discovery.endpoint_list.accepts_requests(id);
         let can_fetch = attempt.fetch.as_ref().is_none_or(|fetch| serves(&fetch.source));
         let is_purged = self.purges.has_since(attempt.started_at, &active.request)
             || self
@@ -118,7 +118,7 @@
         let Some(attempt) = self.requests.attempt(id) else { return };
         let (token, number) = (attempt.connection, attempt.number);
         // The endpoint list may hold changes that the router has not been told of yet.
-        let may_have_changed = self.now > attempt.started_at || self.discovery.membership.has_changes();
+        let may_have_changed = self.now > attempt.started_at || self.discovery.endpoint_list.has_changes();
         // The request may have finished while the attempt waited; no attempt is sent for a finished request.
         if self.requests.is_finished(id) || may_have_changed && !self.is_still_valid(id) {
             self.metrics.dropped_attempts += 1;
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -38,7 +38,7 @@
     registry_timer: Option<Micros>,
     /// Whether updates of the registry, or changes of the list, are left for the next turn.
     pub(super) has_more: bool,
-    pub(super) membership: EndpointList,
+    pub(super) endpoint_list: EndpointList,
     /// Whether the endpoints known before the start have been applied. Records received from then on count as
     /// events that have just happened.
     is_started: bool,
@@ -53,7 +53,7 @@
             registry: None,
             registry_timer: None,
             has_more: false,
-            membership: EndpointList::new(MAX_ENDPOINTS),
+            endpoint_list: EndpointList::new(MAX_ENDPOINTS),
             is_started: false,
         }
     }
@@ -100,7 +100,7 @@
     /// set, or `None` if a timer that is early enough is set.
     fn schedule_registry(&mut self) -> Option<Micros> {
         let registry = self.registry.as_ref()?;
-        self.has_more = registry.wants_turn() || self.membership.has_changes();
+        self.has_more = registry.wants_turn() || self.endpoint_list.has_changes();
         let next = registry.next();
         if self.has_more || self.registry_timer.is_some_and(|set| next >= set) {
             return None;
@@ -123,7 +123,7 @@
     /// Logs the registry's metrics.
     pub(super) fn report(&self, now: Micros) {
         if let Some(registry) = &self.registry {
-            registry.report(now, &self.membership.counts());
+            registry.report(now, &self.endpoint_list.counts());
         }
     }
 
@@ -213,14 +213,14 @@
     }
 
     fn apply_registry_update(&mut self, update: Update) {
-        let (now, membership) = (self.now, &mut self.discovery.membership);
+        let (now, endpoint_list) = (self.now, &mut self.discovery.endpoint_list);
         match update {
-            Update::Removed(id) => membership.remove(now, &id),
-            Update::Unreadable(id) => membership.close(now, &id),
+            Update::Removed(id) => endpoint_list.remove(now, &id),
+            Update::Unreadable(id) => endpoint_list.close(now, &id),
             Update::Put { id, endpoint, process, start: started } => {
                 let (settings, timestamps) = (&self.settings, &mut self.timestamps);
                 let entry = entry_of_registry(now, id, &endpoint, process, started, settings, timestamps);
-                if let Err(error) = membership.upsert(now, entry) {
+                if let Err(error) = endpoint_list.upsert(now, entry) {
                     warn!(self.log, "endpoint rejected"; "reason" => %error);
                 }
             }
@@ -248,11 +248,11 @@
         let (settings, timestamps) = (&self.settings, &mut self.timestamps);
         let entry = |record| self.discovery.entry_of_record(now, record, settings, timestamps);
         let entries: Vec<Entry> = records.into_iter().map(entry).collect();
-        let membership = &mut self.discovery.membership;
+        let endpoint_list = &mut self.discovery.endpoint_list;
         let applied = if is_complete {
-            membership.replace_all(now, entries)
+            endpoint_list.replace_all(now, entries)
         } else {
-            entries.into_iter().try_for_each(|entry| membership.upsert(now, entry))
+            entries.into_iter().try_for_each(|entry| endpoint_list.upsert(now, entry))
         };
         if let Err(error) = applied {
             warn!(self.log, "endpoint list rejected"; "reason" => %error);
@@ -263,7 +263,7 @@
     /// Passes up to `limit` changes of the list to the pool and the router.
     pub(super) fn announce_endpoints(&mut self, limit: usize) {
         let mut changes = Vec::new();
-        self.discovery.membership.take_changes(limit, &mut changes);
+        self.discovery.endpoint_list.take_changes(limit, &mut changes);
         if changes.is_empty() {
             return;
         }
--- a/src/proxy/tests.rs
+++ b/src/proxy/tests.rs
@@ -200,9 +200,9 @@
     /// Lists the cache anew, with a change.
     fn relist(&mut self, change: impl FnOnce(&mut Entry)) {
         let d = &mut self.proxy;
-        let mut entry = d.discovery.membership.entry(CACHE).unwrap().clone();
+        let mut entry = d.discovery.endpoint_list.entry(CACHE).unwrap().clone();
         change(&mut entry);
-        d.discovery.membership.upsert(d.now, entry).unwrap();
+        d.discovery.endpoint_list.upsert(d.now, entry).unwrap();
         d.announce_endpoints(usize::MAX);
         d.process_events();
     }
--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -91,7 +91,7 @@
     }
 
     fn takes_work(&self, id: &str) -> bool {
-        self.proxy.discovery.membership.accepts_requests(id)
+        self.proxy.discovery.endpoint_list.accepts_requests(id)
     }
 }
 
--- a/src/proxy/tests/draining.rs
+++ b/src/proxy/tests/draining.rs
@@ -15,7 +15,7 @@
     assert_eq!(w.frame(&mut client), (2, 0, vec![50, 0]));
     let mut w = World::new();
     w.relist(|e| e.state = EndpointState::Removed);
-    w.proxy.discovery.membership.remove(w.proxy.now, ORIGIN);
+    w.proxy.discovery.endpoint_list.remove(w.proxy.now, ORIGIN);
     w.proxy.announce_endpoints(usize::MAX);
     let mut client = w.client();
     client.put(&ask);
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -41,7 +41,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut w = World::new();
     w.relist(|e| e.state = EndpointState::Removed);
-    w.proxy.discovery.membership.remove(w.proxy.now, ORIGIN);
+    w.proxy.discovery.endpoint_list.remove(w.proxy.now, ORIGIN);
     w.proxy.announce_endpoints(usize::MAX);
     let who = Identity { name: "t".into(), listen: w.proxy.configuration.listen };
     let files = TakeoverFiles::new(folder.clone(), who);
--- a/src/proxy/tests/pauses.rs
+++ b/src/proxy/tests/pauses.rs
@@ -65,7 +65,7 @@
     channel.put(&event(cursor + 1, 2, &record(1, &w.cache, DRAINS)));
     w.discovery_brought();
     w.silent(&mut cache);
-    assert!(!w.proxy.discovery.membership.accepts_requests(CACHE), "its drain was heard");
+    assert!(!w.proxy.discovery.endpoint_list.accepts_requests(CACHE), "its drain was heard");
 }
 
 /// Guards a client whose requests timed out while nobody read them: it took back each, as the protocol asks.
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -492,7 +492,7 @@
                 self.w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
                 self.w.proxy.process_events();
             }
-            Step::List { healthy } if self.w.proxy.discovery.membership.entry(CACHE).is_some() => {
+            Step::List { healthy } if self.w.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
                 self.w.relist(|e| {
                     e.state = if healthy { EndpointState::Healthy } else { EndpointState::Draining }
                 });
--- a/src/proxy/tests/upstreams.rs
+++ b/src/proxy/tests/upstreams.rs
@@ -31,8 +31,8 @@
         d.execute(Command::Purge { what, when_ms: 1 });
     };
     let drain = |d: &mut Proxy| {
-        let entry = d.discovery.membership.entry(CACHE).unwrap().clone();
-        d.discovery.membership.upsert(d.now, Entry { state: EndpointState::Draining, ..entry }).unwrap();
+        let entry = d.discovery.endpoint_list.entry(CACHE).unwrap().clone();
+        d.discovery.endpoint_list.upsert(d.now, Entry { state: EndpointState::Draining, ..entry }).unwrap();
     };
     for change in [purge as fn(&mut Proxy), drain, purge_log::cut_off] {
         let mut w = World::new();
@@ -108,7 +108,7 @@
     let mut cache = w.cache();
     assert_eq!(w.command(&mut cache)[0], "want");
     let at = w.until("a start told to the module", |_| started().filter(|&t| t > 0));
-    assert!(at <= w.proxy.now && w.proxy.discovery.membership.entry(CACHE).unwrap().started_at == at);
+    assert!(at <= w.proxy.now && w.proxy.discovery.endpoint_list.entry(CACHE).unwrap().started_at == at);
     // Reached again with the same process, it is not new again.
     let told = w.events.all().len();
     client.put(&request(3, 3, "clip"));
@@ -124,7 +124,7 @@
     w.frame(&mut client);
     let record = Record {
         id: CACHE.to_owned(),
-        address: w.proxy.discovery.membership.entry(CACHE).unwrap().address,
+        address: w.proxy.discovery.endpoint_list.entry(CACHE).unwrap().address,
         state: RecordState::Ready,
         zone: 0,
         kind: 0,
--- a/src/proxy/upstreams.rs
+++ b/src/proxy/upstreams.rs
@@ -196,7 +196,7 @@
     /// is new and was started at `started_by` at the latest.
     fn endpoint_restarted(&mut self, endpoint: &Id, started_by: Micros) {
         debug!(self.log, "endpoint reachable again"; "endpoint" => %endpoint, "started_by" => started_by);
-        self.discovery.membership.mark_restarted(self.now, endpoint, started_by);
+        self.discovery.endpoint_list.mark_restarted(self.now, endpoint, started_by);
         self.announce_endpoints(usize::MAX);
     }
 
