--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -174,7 +174,7 @@
     /// upstream connection. Returns `false` if all are in use. A client connection with unread input is kept,
     /// because dials free descriptors in the middle of other work, when messages can't be handled.
     pub(super) fn free_descriptor(&mut self) -> bool {
-        if let Some(token) = self.clients.least_useful_unread() {
+        if let Some(token) = self.clients.least_useful_without_input() {
             self.metrics.evicted_idle_clients += 1;
             self.drop_client(token);
             return true;
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -346,7 +346,7 @@
     }
 
     /// Returns the least useful idle connection without unread input.
-    pub(super) fn least_useful_unread(&mut self) -> Option<Token> {
+    pub(super) fn least_useful_without_input(&mut self) -> Option<Token> {
         let mut idle: Vec<(bool, Micros, Token)> = self
             .by_token
             .iter()
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -231,7 +231,7 @@
     pub(super) fn reconfigure_registry(&mut self, settings: Option<&Registry>) {
         let (Some(registry), Some(new)) = (&mut self.discovery.registry, settings) else {
             if self.discovery.has_registry() || settings.is_some() {
-                warn!(self.log, "setting change requires a restart"; "what" => "whether there is a registry");
+                warn!(self.log, "setting change requires a restart"; "what" => "presence of a registry");
             }
             return;
         };
--- a/src/proxy/predecessor.rs
+++ b/src/proxy/predecessor.rs
@@ -43,7 +43,7 @@
             Ok(Some(Predecessor { stream, listener }))
         }
         Ok(Answer { line: FromPredecessor::Busy, .. }) => {
-            Err(io::Error::other("another process is taking over already; start one process at a time"))
+            Err(io::Error::other("another process is taking over already; start one at a time"))
         }
         Ok(Answer { line: FromPredecessor::Refused(reason), .. }) => {
             warn!(log, "takeover refused by the predecessor"; "reason" => reason);
