--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -236,7 +236,8 @@
             return;
         };
         if !registry.reconfigure(self.now, new) {
-            warn!(self.log, "setting change requires a restart"; "what" => "prefix, snapshot or bounds of the registry");
+            warn!(self.log, "setting change requires a restart";
+                  "what" => "prefix, snapshot or bounds of the registry");
         }
         info!(self.log, "registry settings reloaded"; "endpoints" => ?new.endpoints);
         self.run_registry();
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -22,7 +22,8 @@
         if (phase, accepts) == (phase_before, accepted_before) {
             return Ok(());
         }
-        debug!(self.log, "lifecycle phase changed"; "is" => ?phase, "was" => ?phase_before, "open" => self.requests.len());
+        debug!(self.log, "lifecycle phase changed"; "is" => ?phase, "was" => ?phase_before,
+               "open" => self.requests.len());
         if self.lifecycle.takes_clients() {
             self.begin_serving();
         }
