--- a/src/proxy/tests/draining.rs
+++ b/src/proxy/tests/draining.rs
@@ -15,7 +15,7 @@
     assert_eq!(w.frame(&mut client), (2, 0, vec![50, 0]));
     let mut w = World::new();
     w.relist(|e| e.state = EndpointState::Removed);
-    w.proxy.discovery.membership.remove(w.proxy.now, ORIGIN);
+    w.proxy.discovery.endpoint_list.remove(w.proxy.now, ORIGIN);
     w.proxy.announce_endpoints(usize::MAX);
     let mut client = w.client();
     client.put(&ask);
@@ -50,7 +50,7 @@
     w.until("the request", |d| (!d.requests.by_id.is_empty()).then_some(()));
     w.proxy.shut_down();
     w.proxy.fail_open_requests();
-    w.proxy.settle();
+    w.proxy.process_events();
     assert_eq!(w.frame(&mut client).0, 3);
     assert_eq!(w.frame(&mut client), (8, 1, vec![51, 0]));
 }
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -41,7 +41,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut w = World::new();
     w.relist(|e| e.state = EndpointState::Removed);
-    w.proxy.discovery.membership.remove(w.proxy.now, ORIGIN);
+    w.proxy.discovery.endpoint_list.remove(w.proxy.now, ORIGIN);
     w.proxy.announce_endpoints(usize::MAX);
     let who = Identity { name: "t".into(), listen: w.proxy.configuration.listen };
     let files = TakeoverFiles::new(folder.clone(), who);
@@ -94,7 +94,7 @@
     assert!(found.is_some());
     new.proxy.takeover = Some(Takeover::new(files(), found, false, &mut new.proxy.event_loop));
     new.proxy.inherit_state();
-    new.proxy.settle();
+    new.proxy.process_events();
     let told = new.events.all().iter().any(
         |e| matches!(e, Event::Purged { object: None, purge_group: 17, age } if (2_900 * MILLISECOND..60_000 * MILLISECOND).contains(age)),
     );
