--- a/src/failover/load_shift/allocation.rs
+++ b/src/failover/load_shift/allocation.rs
@@ -94,17 +94,17 @@
     fn served_load(&self) -> Vec<Vec<f64>> {
         let inputs = self.model.inputs;
         let mut served = vec![vec![0.0; inputs.classes.len()]; inputs.zones];
-        for (number, demand) in self.model.demands.iter().enumerate() {
-            served[demand.zone][demand.class] += self.served(number);
+        for (index, demand) in self.model.demands.iter().enumerate() {
+            served[demand.zone][demand.class] += self.served(index);
         }
         served
     }
 
     fn keeps_floors(&self) -> bool {
         let floor = self.model.inputs.settings.floor;
-        self.model.demands.iter().enumerate().all(|(number, demand)| {
+        self.model.demands.iter().enumerate().all(|(index, demand)| {
             let least = demand.amount * floor * FULLY_SERVED - GRID;
-            self.served(number) >= least
+            self.served(index) >= least
         })
     }
 
--- a/src/failover/load_shift/constraints.rs
+++ b/src/failover/load_shift/constraints.rs
@@ -198,11 +198,11 @@
     fn rate_limits(&self, query: &ConstraintQuery, mixed: &MixedPlan) -> Vec<RateLimit> {
         let fractions = self.spare_fractions(query, mixed);
         let mut limits = Vec::new();
-        for (number, target) in self.targets().iter().enumerate() {
+        for (index, target) in self.targets().iter().enumerate() {
             let rate = if query.is_lost(target) {
                 self.lost_target_rate(query, target)
             } else {
-                self.serving_target_rate(query, mixed, &fractions, number)
+                self.serving_target_rate(query, mixed, &fractions, index)
             };
             limits.extend(rate.map(|rate| RateLimit { endpoint: target.server.clone(), rate }));
         }
@@ -210,7 +210,7 @@
     }
 
     /// Returns the capacity of a target that the plans do not use.
-    fn spare(&self, mixed: &MixedPlan, target: usize) -> f64 {
+    fn spare_capacity(&self, mixed: &MixedPlan, target: usize) -> f64 {
         (self.targets()[target].capacity * self.inputs.settings.headroom - mixed.total_work[target]).max(0.0)
     }
 
@@ -218,8 +218,8 @@
         let targets = self.targets();
         let spare_of = |role: Role| -> f64 {
             let serving = (0..targets.len())
-                .filter(|&number| targets[number].role == role && !query.is_lost(&targets[number]));
-            serving.map(|number| self.spare(mixed, number)).sum::<f64>()
+                .filter(|&index| targets[index].role == role && !query.is_lost(&targets[index]));
+            serving.map(|index| self.spare_capacity(mixed, index)).sum::<f64>()
         };
         let miss_ratio = self.inputs.parent_miss_ratio.iter().copied().fold(0.0, f64::max);
         SpareFractions::new(miss_ratio * spare_of(Role::Parent), spare_of(Role::Origin))
@@ -242,11 +242,11 @@
         query: &ConstraintQuery,
         mixed: &MixedPlan,
         fractions: &SpareFractions,
-        number: usize,
+        index: usize,
     ) -> Option<f64> {
-        let target = &self.targets()[number];
-        let own_work = mixed.own_zone_work[number];
-        let spare = self.spare(mixed, number);
+        let target = &self.targets()[index];
+        let own_work = mixed.own_zone_work[index];
+        let spare = self.spare_capacity(mixed, index);
         let is_own_zone = target.zone == query.zone;
         match target.role {
             Role::Parent => {
@@ -256,7 +256,7 @@
                 Some(own_work / query.zone_instances() + spare * fractions.origin / query.all_instances())
             }
             // The spare capacity of a cache is left to its own zone, whose forecast may be too low.
-            Role::Cache if is_own_zone && mixed.total_work[number] > own_work => {
+            Role::Cache if is_own_zone && mixed.total_work[index] > own_work => {
                 Some((own_work + spare) / query.zone_instances())
             }
             Role::Cache if !is_own_zone && own_work > 0.0 => Some(own_work / query.zone_instances()),
--- a/src/failover/load_shift/greedy.rs
+++ b/src/failover/load_shift/greedy.rs
@@ -16,13 +16,13 @@
     let demands: Vec<usize> = (0..model.demands.len()).collect();
     for class in demands.chunk_by(|&a, &b| model.demands[a].class == model.demands[b].class) {
         for round in 1..=ROUNDS {
-            for &number in class {
-                let demand = &model.demands[number];
-                let work = demand.amount * round as f64 / ROUNDS as f64 - allocation.served(number);
+            for &index in class {
+                let demand = &model.demands[index];
+                let work = demand.amount * round as f64 / ROUNDS as f64 - allocation.served(index);
                 if demand.at_origin {
-                    allocation.allocate_by_price(number, work);
+                    allocation.allocate_by_price(index, work);
                 } else {
-                    allocation.allocate_profitably(number, work);
+                    allocation.allocate_profitably(index, work);
                 }
             }
         }
@@ -34,9 +34,9 @@
     let model = allocation.model;
     for round in 1..=ROUNDS {
         let floor = model.inputs.settings.floor * round as f64 / ROUNDS as f64;
-        for (number, demand) in model.demands.iter().enumerate() {
-            let work = demand.amount * floor - allocation.served(number);
-            allocation.allocate_by_price(number, work);
+        for (index, demand) in model.demands.iter().enumerate() {
+            let work = demand.amount * floor - allocation.served(index);
+            allocation.allocate_by_price(index, work);
         }
     }
 }
--- a/src/failover/load_shift/inputs.rs
+++ b/src/failover/load_shift/inputs.rs
@@ -46,7 +46,7 @@
     pub parent_miss_ratio: Vec<f64>,
     /// Priority weight of one unit of work, by class.
     pub priority_weight: Vec<f64>,
-    /// Request classes, by number.
+    /// Request classes, in the order of the settings.
     pub classes: Vec<Class>,
     /// Settings of the plans; headroom, floor and `cross_zone_caches` are used.
     pub settings: Settings,
@@ -142,8 +142,8 @@
         let lists = [&self.link_capacity, &self.miss_ratio, &self.parent_miss_ratio, &self.priority_weight];
         let lists = lists.into_iter().chain(&self.load).flatten();
         lists.chain([&self.settings.headroom, &self.settings.floor]).for_each(|&value| put(bits(value)));
-        for (number, class) in self.classes.iter().enumerate() {
-            put(u64::from(self.runs_at_origin(number)) | (class.idempotency as u64) << 1);
+        for (index, class) in self.classes.iter().enumerate() {
+            put(u64::from(self.runs_at_origin(index)) | (class.idempotency as u64) << 1);
         }
         for target in &self.targets {
             let place = [target.role as u64, target.zone as u64, target.server.len() as u64];
