--- a/src/failover/load_shift/model.rs
+++ b/src/failover/load_shift/model.rs
@@ -11,7 +11,7 @@
 const USABLE_FRACTION: f64 = 1.0 - 1e-9;
 /// Minimum use of the origin's capacity by one unit of a parent's work that needs the origin at all; keeps the linear
 /// program well scaled.
-const MIN_PARENT_MISS_RATIO: f64 = 1e-4;
+const MIN_ORIGIN_USE: f64 = 1e-4;
 /// Maximum number of capacities that one route uses: cache, link, source, link of the cache, origin.
 const MAX_USES: usize = 5;
 
@@ -81,8 +81,8 @@
         (0..self.groups.len()).filter(move |&group| self.groups[group].role == role)
     }
 
-    /// Adds a zone's load of a class: as separate demands for hits and misses if the zone has caches that are not lost,
-    /// otherwise as one demand.
+    /// Adds a zone's load of a class: as separate demands for hits and misses if caches can serve the class and the zone
+    /// has caches that are not lost, otherwise as one demand.
     fn add_demands(&mut self, zone: Zone, class: usize) {
         let load = self.inputs.load[zone][class];
         if load < GRID {
@@ -181,7 +181,7 @@
             let from_origin = self.inputs.parent_miss_ratio[class] * source_work_per_unit;
             if group.role == Role::Parent && from_origin > 0.0 {
                 if let Some(origin) = self.groups_of(Role::Origin).next() {
-                    add_use(&mut uses, origin, from_origin.max(MIN_PARENT_MISS_RATIO));
+                    add_use(&mut uses, origin, from_origin.max(MIN_ORIGIN_USE));
                 }
             }
         }
