--- a/src/failover/settings.rs
+++ b/src/failover/settings.rs
@@ -7,7 +7,7 @@
 /// Settings of the failure detector and of the plans. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Duration of failures at most of a site's servers after which the site is suspected.
+    /// Duration of failures at the majority of a site's servers after which the site is suspected.
     pub suspect_after: Micros,
     /// Duration of these failures, counted from the first one, after which the site is unreachable.
     pub unreachable_after: Micros,
--- a/src/failover/site_state.rs
+++ b/src/failover/site_state.rs
@@ -6,7 +6,7 @@
     /// The site serves requests.
     #[default]
     Serving,
-    /// Attempts at most of the site's servers fail; no load is shifted yet, and no move of a shard begins.
+    /// Attempts at the majority of the site's servers fail; no load is shifted yet, and no move of a shard begins.
     Suspected,
     /// The site counts as lost: its load is redistributed according to the plan for its loss.
     Unreachable,
