--- a/src/failover/load_shift/error.rs
+++ b/src/failover/load_shift/error.rs
@@ -10,7 +10,9 @@
     #[error("site plans: none of {0} servers can take load; check the endpoint list and the weights of its servers")]
     NoTarget(usize),
     /// An input list is longer than its limit.
-    #[error("site plans: {count} {input} exceed the limit of {max}; merge small ones or leave site_plan() out")]
+    #[error(
+        "site plans: {count} {input} exceed the limit of {max}; merge small ones or leave site_plan() out"
+    )]
     TooMany {
         /// Kind of the input.
         input: LimitedInput,
