--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -27,7 +27,7 @@
 /// Upper bound on the computed duration of a move, in milliseconds.
 const MAX_MOVE_MS: f64 = 1e15;
 /// Number of weeks for which the loss of a site is checked against the forecast load.
-pub const WEEKS: u64 = 8;
+pub const FORECAST_WEEKS: u64 = 8;
 
 /// Replacement of old documents by one base document.
 #[derive(Clone, Debug, PartialEq)]
@@ -208,7 +208,7 @@
         let forecasts = job.forecasts.iter().map(|(_, forecast)| forecast);
         let any_known = forecasts.clone().any(|forecast| matches!(forecast, Forecast::Known(_)));
         self.weekly_growth_factors =
-            if any_known { factors(forecasts, WEEKS, &self.settings) } else { Vec::new() };
+            if any_known { factors(forecasts, FORECAST_WEEKS, &self.settings) } else { Vec::new() };
         self.loads = job.loads;
         self.logged = job.problems;
         let schedule = self.scheduler.encode();
--- a/src/proxy/failover.rs
+++ b/src/proxy/failover.rs
@@ -14,7 +14,7 @@
 use crate::failover::recovery_ramp::traffic_share;
 use crate::failover::site_report::SiteObservation;
 use crate::failover::{AttemptOutcome, FailureDetector, ListedServer, Settings, SiteState, Zone};
-use crate::growth::ahead::WEEKS;
+use crate::growth::ahead::FORECAST_WEEKS;
 use crate::routing::constraints::Constraints;
 use crate::routing::events::{AttemptStatus, CacheStatus, Endpoint, EndpointState, Id, Micros, Role};
 use rustc_hash::FxHashMap;
@@ -280,7 +280,7 @@
         let Some(plans) = &self.plans else { return };
         let LossCheck { zone, week } = self.next_check;
         let bearable = plans.survives_loss(zone, &growth_factors);
-        let last_week = week + 1 >= WEEKS as usize;
+        let last_week = week + 1 >= FORECAST_WEEKS as usize;
         self.next_check = if bearable && !last_week {
             LossCheck { zone, week: week + 1 }
         } else {
@@ -291,7 +291,7 @@
             warn!(context.log, "loss of the site exceeds the forecast capacity"; "zone" => name, "from_week" => week,
                   "remedy" => "add parents or links, or let load leave its branch");
         } else if bearable && last_week && self.unbearable_from_week.remove(&zone).is_some() {
-            info!(context.log, "loss of the site within the forecast capacity again"; "zone" => name, "weeks" => WEEKS);
+            info!(context.log, "loss of the site within the forecast capacity again"; "zone" => name, "weeks" => FORECAST_WEEKS);
         }
     }
 
