--- a/src/placement/quiet.rs
+++ b/src/placement/quiet.rs
@@ -35,7 +35,7 @@
 }
 
 /// How far ahead windows are searched, in milliseconds: five weeks.
-pub const AHEAD_MS: u64 = 35 * DAY_MS as u64;
+pub const LOOKAHEAD_MS: u64 = 35 * DAY_MS as u64;
 /// Maximum period that [`Calendar::windows`] covers, in milliseconds: 400 days; later windows are left out.
 pub const LONGEST_MS: u64 = 400 * DAY_MS as u64;
 const DAY_MS: i64 = 86_400_000;
@@ -116,14 +116,14 @@
         merged.into_iter().map(|s| (s.0 as u64, s.1 as u64)).collect()
     }
 
-    /// Returns the end of the zone's current quiet span, in Unix milliseconds and at most [`AHEAD_MS`] ahead; `None` if
+    /// Returns the end of the zone's current quiet span, in Unix milliseconds and at most [`LOOKAHEAD_MS`] ahead; `None` if
     /// the zone is not quiet now.
     pub fn quiet_at(&self, zone: &str, unix_ms: u64) -> Option<u64> {
         self.next_window(zone, unix_ms).filter(|w| w.0 <= unix_ms).map(|w| w.1)
     }
 
-    /// Returns the rest of the zone's current quiet span, or else its next span within [`AHEAD_MS`].
+    /// Returns the rest of the zone's current quiet span, or else its next span within [`LOOKAHEAD_MS`].
     pub fn next_window(&self, zone: &str, unix_ms: u64) -> Option<(u64, u64)> {
-        self.windows(zone, unix_ms, unix_ms.saturating_add(AHEAD_MS)).first().copied()
+        self.windows(zone, unix_ms, unix_ms.saturating_add(LOOKAHEAD_MS)).first().copied()
     }
 }
--- a/src/placement/quiet/tests.rs
+++ b/src/placement/quiet/tests.rs
@@ -70,7 +70,7 @@
             if minute % 97 == 0 {
                 let ends = calendar.quiet_at("a", now);
                 prop_assert_eq!(ends.is_some(), span.is_some());
-                prop_assert!(ends.is_none_or(|e| e == now + super::AHEAD_MS || !is_quiet_by_wall_clock(&calendar, e)));
+                prop_assert!(ends.is_none_or(|e| e == now + super::LOOKAHEAD_MS || !is_quiet_by_wall_clock(&calendar, e)));
             }
         }
     }
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -16,7 +16,7 @@
 use crate::placement::planner::{
     map_key, moves_key, Notice, Planner, PlannerInput, Transaction as PlannerTransaction, TransactionResult,
 };
-use crate::placement::quiet::{Calendar, AHEAD_MS};
+use crate::placement::quiet::{Calendar, LOOKAHEAD_MS};
 use crate::placement::rebalance::EndpointCapacity;
 use crate::placement::snapshot::{self, SnapshotWriter};
 use crate::placement::Settings;
@@ -520,7 +520,7 @@
         let last = zone_planner.last_forecast;
         if forecast.is_idle() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
             zone_planner.last_forecast = Some(context.now);
-            let until_ms = context.unix_ms.saturating_add(AHEAD_MS);
+            let until_ms = context.unix_ms.saturating_add(LOOKAHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
             let counts =
