--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -100,7 +100,8 @@
     let (now, end) = (truth[HISTORY - 1], truth[HISTORY + TO_COME - 1]);
     let grows = (end - now).abs().max(now * 0.05);
     let full_kb = truth[..HISTORY].iter().fold(now, |a, &b| a.max(b)) + grows * rng.random_range(0.05..1.5);
-    let shard = Shard { start: 0, last: u64::MAX, home: Some("a".into()), box_kb: full_kb / settings.split };
+    let shard =
+        Shard { start: 0, last: u64::MAX, home: Some("a".into()), capacity_kb: full_kb / settings.split };
     let full = (HISTORY..truth.len()).find(|&n| truth[n] >= full_kb);
     outcome.shards += 1;
     let mut scheduler = Scheduler::new(settings.clone());
@@ -226,8 +227,8 @@
     for n in 0..SHARDS {
         let known = &histories[n % histories.len()][..HISTORY];
         let start = n as u64 * (u64::MAX / SHARDS as u64);
-        let box_kb = known[HISTORY - 1].kb * 5.0;
-        let shard = Shard { start, last: start + 1_000, home: Some("a".into()), box_kb };
+        let capacity_kb = known[HISTORY - 1].kb * 5.0;
+        let shard = Shard { start, last: start + 1_000, home: Some("a".into()), capacity_kb };
         let began = Instant::now();
         scheduler.plan(now_ms, &shard, &Forecast::of(known, &settings), &windows, 2 * HOUR_MS);
         let took = began.elapsed();
--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -149,7 +149,7 @@
             start: s.start,
             last,
             home: s.home.clone(),
-            box_kb: self.settings.box_kb * weight(s),
+            capacity_kb: self.settings.box_kb * weight(s),
         };
         let shards: Vec<Shard> = map.shards.iter().zip(ends).map(shard).collect();
         let work = shards.iter().map(|s| work.of(s.start, s.last)).collect();
@@ -187,7 +187,7 @@
         for at in (job.forecasts.len()..job.shards.len()).take(SLICE_SHARDS) {
             let shard = job.shards[at].clone();
             let series = self.merged.series(&job.cells, shard.start, shard.last);
-            let kb = series.last().map_or(0.0, |point| point.kb).min(shard.box_kb);
+            let kb = series.last().map_or(0.0, |point| point.kb).min(shard.capacity_kb);
             let forecast = Forecast::of(&series, &self.settings);
             let move_ms = half_move_ms(kb, job.kb_s);
             if let Some(notice) = self.scheduler.plan(now_ms, &shard, &forecast, &job.windows, move_ms) {
--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -26,7 +26,7 @@
     /// Home of the shard; `None` if the hash order decides.
     pub home: Option<Id>,
     /// Cache capacity of the home, in kilobytes: the setting `box_kb` times its weight.
-    pub box_kb: f64,
+    pub capacity_kb: f64,
 }
 
 impl Shard {
@@ -141,7 +141,8 @@
             return None;
         }
         let Forecast::Known(trend) = forecast else { return None };
-        let [full_bucket, ..] = trend.passes(self.settings.split * shard.box_kb, self.settings.ahead as u64);
+        let [full_bucket, ..] =
+            trend.passes(self.settings.split * shard.capacity_kb, self.settings.ahead as u64);
         let Some(full_bucket) = full_bucket else {
             self.splits.remove(&shard.start);
             return None;
@@ -202,10 +203,10 @@
             if !neighbours || scheduled || last == Some(a.start) {
                 continue;
             }
-            let (box_kb, ahead) = (a.box_kb.min(b.box_kb), self.settings.ahead as u64);
+            let (capacity_kb, ahead) = (a.capacity_kb.min(b.capacity_kb), self.settings.ahead as u64);
             let forecast_kb = trend_a.after(ahead).high + trend_b.after(ahead).high;
-            if trend_a.level + trend_b.level < self.settings.merge * box_kb
-                && forecast_kb < self.settings.split * box_kb / 2.0
+            if trend_a.level + trend_b.level < self.settings.merge * capacity_kb
+                && forecast_kb < self.settings.split * capacity_kb / 2.0
             {
                 merges.push(b.start);
                 last = Some(b.start);
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -226,7 +226,7 @@
 /// window of 4 hours each day, and the current time.
 fn growing() -> (Shard, Forecast, Vec<(u64, u64)>, u64) {
     let now = 500_299;
-    let shard = Shard { start: 0, last: u64::MAX, home: Some("a".into()), box_kb: 160_000.0 };
+    let shard = Shard { start: 0, last: u64::MAX, home: Some("a".into()), capacity_kb: 160_000.0 };
     let forecast = Forecast::of(&points(|n| 100.0 * n as f64, 300, |_| true), &Settings::default());
     let windows = (0..30).map(|d| ((now + d * 24 + 3) * HOUR_MS, (now + d * 24 + 7) * HOUR_MS)).collect();
     (shard, forecast, windows, now * HOUR_MS)
@@ -322,7 +322,7 @@
         };
         let known = points(|hour| expected(hour) * (1.0 + off(hour)), 1_344, |_| true);
         let full = (700 + n..).find(|&hour| expected(hour) >= expected(700 + n)).unwrap_or(u64::MAX);
-        let shard = Shard { start: 0, last: 9, home: None, box_kb: expected(full) / settings.split };
+        let shard = Shard { start: 0, last: 9, home: None, capacity_kb: expected(full) / settings.split };
         let window = |day: u64| ((500_000 + day * 24 + 2) * HOUR_MS, (500_000 + day * 24 + 6) * HOUR_MS);
         let mut scheduler = Scheduler::new(settings.clone());
         let split = (21..56).find(|day| {
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -253,7 +253,7 @@
                 let history: Vec<Point> = (0..hours).map(point).collect();
                 let start = number as u64 * width;
                 let home = Some(["a", "b"][number / 4].into());
-                let shard = Shard { start, last: start + width - 1, home, box_kb: 140_000.0 };
+                let shard = Shard { start, last: start + width - 1, home, capacity_kb: 140_000.0 };
                 let forecast = Forecast::of(&history, &settings);
                 let moves_ms = rng.random_range(0..6 * HOUR_MS);
                 let notice = scheduler.plan(now * HOUR_MS, &shard, &forecast, &windows, moves_ms);
