--- a/crates/fleet-simulation/src/slopes/placement.rs
+++ b/crates/fleet-simulation/src/slopes/placement.rs
@@ -99,7 +99,7 @@
             let write = watch.time(|| {
                 if planner.wants_documents() {
                     let read = |n: usize| documents[n].as_deref().map(|d: &[u8]| (d, revision));
-                    planner.documents(read(0), read(1), &mut notices);
+                    planner.update_documents(read(0), read(1), &mut notices);
                 }
                 planner.step(&view, &mut notices)
             });
--- a/crates/test-support/src/bin/measure-shards.rs
+++ b/crates/test-support/src/bin/measure-shards.rs
@@ -172,7 +172,7 @@
         let mut notices = Vec::new();
         if planner.wants_documents() {
             let read = |n: usize| documents[n].as_deref().map(|d| (d, revision));
-            planner.documents(read(0), read(1), &mut notices);
+            planner.update_documents(read(0), read(1), &mut notices);
         }
         let instances = [Some(map.epoch)];
         let view = PlannerInput {
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -149,7 +149,7 @@
 
     /// Accepts both documents, as listed or watched: each with its value and the revision of its last change, or `None`
     /// without such a key. Ignored while a transaction is pending, whose result decides which values hold.
-    pub fn documents(
+    pub fn update_documents(
         &mut self,
         map: Option<(&[u8], i64)>,
         moves: Option<(&[u8], i64)>,
--- a/src/placement/planner/tests.rs
+++ b/src/placement/planner/tests.rs
@@ -95,7 +95,7 @@
 
     fn read(&mut self) {
         let [map, moves] = self.documents.each_ref().map(|d| d.as_ref().map(|d| (&d.0[..], d.1)));
-        self.planner.documents(map, moves, &mut self.notices);
+        self.planner.update_documents(map, moves, &mut self.notices);
     }
 
     fn map(&self) -> Option<ShardMap> {
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -300,7 +300,7 @@
     fn read(&mut self) {
         let [map, moves] = self.documents.each_ref().map(|d| d.as_ref().map(|d| (&d.0[..], d.1)));
         let mut notices = Vec::new();
-        self.planner.documents(map, moves, &mut notices);
+        self.planner.update_documents(map, moves, &mut notices);
         self.notices(&notices);
     }
 
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -190,7 +190,7 @@
     fn read(&mut self, p: usize) {
         let (map, moves) = (self.map.0.encode(), self.moves.0.encode());
         let documents = (Some((&map[..], self.map.1)), Some((&moves[..], self.moves.1)));
-        self.planners[p].documents(documents.0, documents.1, &mut Vec::new());
+        self.planners[p].update_documents(documents.0, documents.1, &mut Vec::new());
     }
 
     fn warms(&self) -> bool {
