--- a/crates/fleet-simulation/src/slopes/placement.rs
+++ b/crates/fleet-simulation/src/slopes/placement.rs
@@ -114,7 +114,7 @@
                     documents[1] = Some(value.clone());
                 }
             }
-            watch.time(|| planner.answered(write.id, TransactionResult::Committed(revision)));
+            watch.time(|| planner.handle_result(write.id, TransactionResult::Committed(revision)));
         }
         (watch, planner)
     }
--- a/crates/test-support/src/bin/measure-shards.rs
+++ b/crates/test-support/src/bin/measure-shards.rs
@@ -214,7 +214,7 @@
                     documents[1] = Some(value);
                 }
             }
-            planner.answered(write.id, TransactionResult::Committed(revision));
+            planner.handle_result(write.id, TransactionResult::Committed(revision));
         }
     }
     let all: f64 = loads.iter().map(|l| l.kb).sum();
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -212,7 +212,7 @@
     }
 
     /// Applies the result of a transaction; the result of an older transaction is ignored.
-    pub fn answered(&mut self, id: u64, result: TransactionResult) {
+    pub fn handle_result(&mut self, id: u64, result: TransactionResult) {
         let Some(pending) = self.pending.take_if(|pending| pending.id == id) else { return };
         match result {
             TransactionResult::Committed(revision) => {
--- a/src/placement/planner/output.rs
+++ b/src/placement/planner/output.rs
@@ -9,7 +9,7 @@
 /// of a window rely on that.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transaction {
-    /// Identifies the transaction in [`Planner::answered`](super::Planner::answered).
+    /// Identifies the transaction in [`Planner::handle_result`](super::Planner::handle_result).
     pub id: u64,
     /// The fence under which the transaction was decided.
     pub fence: i64,
--- a/src/placement/planner/tests.rs
+++ b/src/placement/planner/tests.rs
@@ -85,7 +85,7 @@
                 for (key, value) in transaction.puts {
                     self.documents[usize::from(key == "/s/moves/1")] = Some((value, self.revision));
                 }
-                self.planner.answered(transaction.id, TransactionResult::Committed(self.revision));
+                self.planner.handle_result(transaction.id, TransactionResult::Committed(self.revision));
             }
             if self.planner.wants_documents() {
                 self.read();
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -341,7 +341,7 @@
             TransactionResult::Rejected | TransactionResult::Unknown => self.refused_steps += 1,
         }
         if let Some(zone_planner) = self.planners.get_mut(&zone) {
-            zone_planner.planner.answered(step, answer);
+            zone_planner.planner.handle_result(step, answer);
         }
     }
 
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -369,10 +369,10 @@
     fn commit(&mut self, transaction: Transaction) {
         let reply_lost = self.rng.random_ratio(1, 20);
         if reply_lost && self.rng.random_bool(0.5) {
-            return self.planner.answered(transaction.id, TransactionResult::Unknown);
+            return self.planner.handle_result(transaction.id, TransactionResult::Unknown);
         }
         if self.rng.random_ratio(1, 30) {
-            return self.planner.answered(transaction.id, TransactionResult::Rejected);
+            return self.planner.handle_result(transaction.id, TransactionResult::Rejected);
         }
         self.revision += 1;
         for (key, value) in transaction.puts {
@@ -380,7 +380,7 @@
         }
         let answer =
             if reply_lost { TransactionResult::Unknown } else { TransactionResult::Committed(self.revision) };
-        self.planner.answered(transaction.id, answer);
+        self.planner.handle_result(transaction.id, answer);
     }
 
     fn follow(&mut self) {
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -282,12 +282,12 @@
                     f.fences[transaction.planner] = (f.lease.0 == transaction.planner).then_some(f.lease.1);
                 }
                 let answer = if answered { answer } else { TransactionResult::Unknown };
-                f.planners[transaction.planner].answered(transaction.request.id, answer);
+                f.planners[transaction.planner].handle_result(transaction.request.id, answer);
             }
             Action::FailCall(n) => {
                 f.faults -= 1;
                 let (planner, id) = (f.in_flight[n].planner, f.in_flight[n].request.id);
-                f.planners[planner].answered(id, TransactionResult::Unknown);
+                f.planners[planner].handle_result(id, TransactionResult::Unknown);
             }
             Action::TransferLease => {
                 f.faults -= 1;
@@ -309,7 +309,7 @@
                 let (keep, late): (Vec<_>, Vec<_>) = f.in_flight.drain(..).partition(|w| f.tick - w.at <= 1);
                 f.in_flight = keep;
                 for w in late {
-                    f.planners[w.planner].answered(w.request.id, TransactionResult::Unknown);
+                    f.planners[w.planner].handle_result(w.request.id, TransactionResult::Unknown);
                 }
                 // A planner with nothing to decide receives the documents and observes the time. Other planners may stay
                 // paused for any time.
