--- a/crates/fleet-simulation/src/slopes/placement.rs
+++ b/crates/fleet-simulation/src/slopes/placement.rs
@@ -97,7 +97,7 @@
                 requested_changes: None,
             };
             let write = watch.time(|| {
-                if planner.wants_documents() {
+                if planner.needs_documents() {
                     let read = |n: usize| documents[n].as_deref().map(|d: &[u8]| (d, revision));
                     planner.update_documents(read(0), read(1), &mut notices);
                 }
--- a/crates/test-support/src/bin/measure-shards.rs
+++ b/crates/test-support/src/bin/measure-shards.rs
@@ -170,7 +170,7 @@
     let (mut longest, mut planning, mut kb, mut moved) = (Duration::ZERO, Duration::ZERO, 0, 0);
     for second in 0..6 * 3_600u64 {
         let mut notices = Vec::new();
-        if planner.wants_documents() {
+        if planner.needs_documents() {
             let read = |n: usize| documents[n].as_deref().map(|d| (d, revision));
             planner.update_documents(read(0), read(1), &mut notices);
         }
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns whether both documents have to be read, after the last transaction result, before anything is decided.
-    pub fn wants_documents(&self) -> bool {
+    pub fn needs_documents(&self) -> bool {
         self.fence.is_some() && self.documents == Documents::Unread && self.pending.is_none()
     }
 
--- a/src/placement/planner/tests.rs
+++ b/src/placement/planner/tests.rs
@@ -87,7 +87,7 @@
                 }
                 self.planner.handle_result(transaction.id, TransactionResult::Committed(self.revision));
             }
-            if self.planner.wants_documents() {
+            if self.planner.needs_documents() {
                 self.read();
             }
         }
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -494,7 +494,7 @@
         fence: Option<i64>,
         notices: &mut Vec<Notice>,
     ) {
-        if fence.is_some() && self.driver.is_current(context.now) && planner.wants_documents() {
+        if fence.is_some() && self.driver.is_current(context.now) && planner.needs_documents() {
             let document = |key: &str| self.driver.get(key).map(|d| (d.value.as_slice(), d.mod_revision));
             let (map, moves) = (map_key("", zone as u16), moves_key("", zone as u16));
             planner.update_documents(document(&map), document(&moves), notices);
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -335,8 +335,8 @@
                 write_transaction(&mut self.digest, &transaction);
                 self.commit(transaction);
             }
-            self.digest.flag(self.planner.wants_documents());
-            if self.planner.wants_documents() {
+            self.digest.flag(self.planner.needs_documents());
+            if self.planner.needs_documents() {
                 self.read();
             }
         }
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -133,7 +133,7 @@
         let mut notices = Vec::new();
         let planner = &mut fleet.planners[p];
         let request = planner.step(&input, &mut notices);
-        if !planner.wants_documents() {
+        if !planner.needs_documents() {
             return request;
         }
         fleet.read(p);
@@ -315,10 +315,10 @@
                 // paused for any time.
                 for p in 0..2 {
                     let mut idle = f.clone();
-                    if idle.fences[p].is_some() && !idle.planners[p].wants_documents() {
+                    if idle.fences[p].is_some() && !idle.planners[p].needs_documents() {
                         idle.read(p);
                     }
-                    if !idle.planners[p].wants_documents() && self.step(&mut idle, p).is_none() {
+                    if !idle.planners[p].needs_documents() && self.step(&mut idle, p).is_none() {
                         f.planners[p] = idle.planners[p].clone();
                     }
                 }
