--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -112,8 +112,8 @@
         let forecast = Forecast::of(known, &settings);
         if full.is_some_and(|f| (f as i64 - n as i64 - 336).abs() < 12) {
             if let (Forecast::Known(t), Some(f)) = (&forecast, full) {
-                let told =
-                    t.passes(full_kb, 24 * 60)[1].map_or(24.0 * 60.0, |b| b as f64 - n as f64 - FIRST as f64);
+                let told = t.reaches(full_kb, 24 * 60)[1]
+                    .map_or(24.0 * 60.0, |b| b as f64 - n as f64 - FIRST as f64);
                 outcome.off.push((told - (f - n) as f64) / 24.0);
             }
         }
--- a/src/growth/forecast.rs
+++ b/src/growth/forecast.rs
@@ -282,7 +282,7 @@
 
     /// Returns the buckets in which the high end, the middle and the low end of the forecast reach a size; `None` if that
     /// is more than `ahead` buckets after the last known one.
-    pub fn passes(&self, kb: f64, ahead: u64) -> [Option<u64>; 3] {
+    pub fn reaches(&self, kb: f64, ahead: u64) -> [Option<u64>; 3] {
         [|i: Interval| i.high, |i: Interval| i.middle, |i: Interval| i.low].map(|end| {
             // Forecast sizes never decrease, so a binary search finds the first bucket.
             let (mut below, mut above) = (0, ahead.saturating_add(1));
--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -142,7 +142,7 @@
         }
         let Forecast::Known(trend) = forecast else { return None };
         let [full_bucket, ..] =
-            trend.passes(self.settings.split * shard.capacity_kb, self.settings.ahead as u64);
+            trend.reaches(self.settings.split * shard.capacity_kb, self.settings.ahead as u64);
         let Some(full_bucket) = full_bucket else {
             self.splits.remove(&shard.start);
             return None;
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -204,7 +204,7 @@
         let history: Vec<_> = kb.iter().enumerate().map(point).collect();
         let settings = Settings { bucket, ..Settings::default() };
         if let Forecast::Known(trend) = Forecast::of(&history, &settings) {
-            let [early, middle, late] = trend.passes(1e6, 1_000);
+            let [early, middle, late] = trend.reaches(1e6, 1_000);
             let at = |of: Option<u64>| of.unwrap_or(u64::MAX);
             prop_assert!(at(early) <= at(middle) && at(middle) <= at(late));
         }
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -220,7 +220,7 @@
                     let after = trend.after(buckets);
                     digest.floats(&[after.low, after.middle, after.high]);
                 }
-                for passes in trend.passes(trend.level * 1.01, 700) {
+                for passes in trend.reaches(trend.level * 1.01, 700) {
                     digest.option(passes, Digest::number);
                 }
                 (0..4).for_each(|week| digest.floats(&trend.factor(week, 168)));
