--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -63,7 +63,7 @@
 
 /// Returns the maximum rate of warming one endpoint, in KB per second over all instances: the part `warm` of the link,
 /// but at most the endpoint's spare bandwidth.
-pub fn warm_kb_s(warm: f64, link_kb_s: f64, spare_kb_s: f64) -> f64 {
+pub fn max_warming_kb_s(warm: f64, link_kb_s: f64, spare_kb_s: f64) -> f64 {
     (warm * link_kb_s).min(spare_kb_s).max(0.0)
 }
 
@@ -143,7 +143,7 @@
     }
 
     /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to an
-    /// endpoint, in transfers at full rate (the instance's part of [`warm_kb_s`]).
+    /// endpoint, in transfers at full rate (the instance's part of [`max_warming_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
         let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
         let assignment = |shard: &Shard| ShardAssignment {
--- a/src/placement/planner/input.rs
+++ b/src/placement/planner/input.rs
@@ -1,7 +1,7 @@
 //! Input of each planner step, and the conditions derived from it.
 
 use super::super::load::MeasuredShard;
-use super::super::map::{warm_kb_s, ShardMap};
+use super::super::map::{max_warming_kb_s, ShardMap};
 use super::super::moves::{Change, Moves};
 use super::super::quiet::Calendar;
 use super::super::rebalance::EndpointCapacity;
@@ -89,7 +89,7 @@
         let spare_kb_s = self.endpoint(to).map_or(0.0, |endpoint| endpoint.spare_kb_s);
         // Each instance has a fixed share of the rate; the shares of absent instances stay unused.
         let present = self.instances.len() as f64 / f64::from(self.max_instances.max(1));
-        let rate_kb_s = warm_kb_s(self.settings.warm, self.link_kb_s, spare_kb_s) * present.min(1.0);
+        let rate_kb_s = max_warming_kb_s(self.settings.warm, self.link_kb_s, spare_kb_s) * present.min(1.0);
         let span_ms = kb / rate_kb_s * 1_000.0;
         let possible = rate_kb_s > 0.0 && span_ms.is_finite() && span_ms < MAX_WARMING_MS;
         possible.then_some(span_ms.ceil() as u64)
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -12,7 +12,7 @@
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
 use crate::placement::load::Work;
-use crate::placement::map::{warm_kb_s, ShardMap};
+use crate::placement::map::{max_warming_kb_s, ShardMap};
 use crate::placement::planner::{
     map_key, moves_key, Notice, Planner, PlannerInput, Transaction as PlannerTransaction, TransactionResult,
 };
@@ -412,7 +412,7 @@
         let processes = f64::from(max_instances(context.settings, self.zone)) * f64::from(context.processes);
         let warming_rate = |cache: &Id| {
             let spare_kb_s = caches.iter().find(|place| place.id == *cache).map_or(0.0, |p| p.spare_kb_s);
-            warm_kb_s(self.settings.warm, link_kb_s, spare_kb_s)
+            max_warming_kb_s(self.settings.warm, link_kb_s, spare_kb_s)
                 / settings.transfer_rate_kb_s.max(1.0)
                 / processes
         };
@@ -526,7 +526,7 @@
             let counts =
                 self.driver.below(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
-            let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
+            let warming_kb_s = max_warming_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
                 warn!(context.log, "split schedule not used"; "zone" => name, "error" => %error);
             }
