--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -47,7 +47,7 @@
     /// Window in which the split is made.
     pub window: Window,
     /// Time at which the shard is full by the early end of its forecast, in Unix milliseconds.
-    pub full: u64,
+    pub full_at_ms: u64,
 }
 
 /// A problem with scheduling splits, for the log.
@@ -162,7 +162,7 @@
         let Some(window) = before.or_else(|| ahead().min_by_key(|w| w.0)) else {
             return Some(Notice::NoWindow { start: shard.start, full });
         };
-        self.splits.insert(shard.start, Split { start: shard.start, middle, window, full });
+        self.splits.insert(shard.start, Split { start: shard.start, middle, window, full_at_ms: full });
         before.is_none().then_some(Notice::NoWindow { start: shard.start, full })
     }
 
@@ -170,7 +170,7 @@
     pub fn due(&self, now_ms: u64) -> Vec<Split> {
         let open = |s: &&Split| s.window.0 <= now_ms && now_ms < s.window.1;
         let mut due: Vec<Split> = self.splits.values().filter(open).copied().collect();
-        due.sort_unstable_by_key(|s| (s.full, s.start));
+        due.sort_unstable_by_key(|s| (s.full_at_ms, s.start));
         due
     }
 
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -238,7 +238,11 @@
     let mut scheduler = Scheduler::new(Settings::default());
     assert_eq!(scheduler.plan(now, &shard, &forecast, &windows, HOUR_MS), None);
     let split = *scheduler.scheduled().next().unwrap();
-    assert_eq!((split.window, split.full), (windows[2], FULL), "the fourth window is left for the move");
+    assert_eq!(
+        (split.window, split.full_at_ms),
+        (windows[2], FULL),
+        "the fourth window is left for the move"
+    );
     // A new planner keeps the stored schedule while it has no forecast, and schedules the same split once it has one.
     let mut next_scheduler = Scheduler::decode(Settings::default(), &scheduler.encode()).unwrap();
     assert_eq!(next_scheduler, scheduler);
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -228,8 +228,8 @@
     use growth::splits::{Scheduler, Split};
     let windows = [(NOW_UNIX_MS + 1, NOW_UNIX_MS + 2), (NOW_UNIX_MS + 11, NOW_UNIX_MS + 12)];
     let splits = [
-        Split { start: 5, middle: 1 << 40, window: windows[0], full: NOW_UNIX_MS + 3 },
-        Split { start: 1 << 41, middle: 1 << 63, window: windows[1], full: NOW_UNIX_MS + 13 },
+        Split { start: 5, middle: 1 << 40, window: windows[0], full_at_ms: NOW_UNIX_MS + 3 },
+        Split { start: 1 << 41, middle: 1 << 63, window: windows[1], full_at_ms: NOW_UNIX_MS + 13 },
     ];
     // Format, checksum and the entries, as `Scheduler::encode` writes them.
     let content = postcard::to_stdvec(&splits.to_vec()).unwrap();
