--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -1,13 +1,13 @@
 //! Growth forecast of one zone at the planner: merges the instances' growth documents and, in slices, computes each
-//! shard's load and cached bytes and the splits and merges to make. `proxy::rebalancing` owns one for each zone and steps
-//! it.
+//! shard's load and cached bytes and the splits and merges to make. `proxy::rebalancing` owns one for each zone and
+//! steps it.
 
 #[cfg(test)]
 mod tests;
 
 use super::buckets::{Cell, Document, GrowthHistory, CELLS};
 use super::forecast::Forecast;
-use super::splits::{factors, Notice, Scheduler, Shard, Window};
+use super::splits::{weekly_growth_factors, Notice, Scheduler, Shard, Window};
 use super::{GrowthError, Settings};
 use crate::placement::load::{MeasuredShard, Work};
 use crate::placement::map::ShardMap;
@@ -20,8 +20,8 @@
 /// Number of shards forecast in one slice.
 const SLICE_SHARDS: usize = 200;
 
-/// Maximum number of documents removed in one transaction. With the base document that replaces them, it stays below the
-/// registry's limit of 128 operations.
+/// Maximum number of documents removed in one transaction. With the base document that replaces them, it stays below
+/// the registry's limit of 128 operations.
 const MAX_REMOVED: usize = 100;
 
 /// Upper bound on the computed duration of a move, in milliseconds.
@@ -32,7 +32,8 @@
 /// Replacement of old documents by one base document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Compaction {
-    /// Key and value of the base document, which includes the removed ones; written in the transaction that removes them.
+    /// Key and value of the base document, which includes the removed ones; written in the transaction that removes
+    /// them.
     pub base: (String, Vec<u8>),
     /// Keys of the documents to remove.
     pub keys: Vec<String>,
@@ -117,8 +118,8 @@
         self.job.is_none()
     }
 
-    /// Begins a forecast. `kb_s` is the rate of warming during a move, in KB per second; `work` is the measured work of the
-    /// zone; `stored_schedule` is the schedule stored in the registry, with which a new planner continues.
+    /// Begins a forecast. `kb_s` is the rate of warming during a move, in KB per second; `work` is the measured work of
+    /// the zone; `stored_schedule` is the schedule stored in the registry, with which a new planner continues.
     ///
     /// # Errors
     /// The stored schedule can't be decoded; the forecast begins without it.
@@ -207,8 +208,11 @@
         self.requested_changes = Some(self.changes(&job));
         let forecasts = job.forecasts.iter().map(|(_, forecast)| forecast);
         let any_known = forecasts.clone().any(|forecast| matches!(forecast, Forecast::Known(_)));
-        self.weekly_growth_factors =
-            if any_known { factors(forecasts, FORECAST_WEEKS, &self.settings) } else { Vec::new() };
+        self.weekly_growth_factors = if any_known {
+            weekly_growth_factors(forecasts, FORECAST_WEEKS, &self.settings)
+        } else {
+            Vec::new()
+        };
         self.loads = job.loads;
         self.logged = job.problems;
         let schedule = self.scheduler.encode();
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -1,19 +1,19 @@
 //! Distinct newly requested objects, by time bucket and position in the hash space of objects: the counts of one
 //! instance, the documents that it writes to the registry, and their union at the planner.
 //!
-//! Counts are not kept by shard, because shards are split and merged. The hash space is a fixed grid of [`CELLS`] cells,
-//! and a shard's count is the sum of the cells that it covers, each by the covered fraction. Objects are spread evenly
-//! within a cell because positions are hashed, so a few cells with many registers estimate a shard better than its own
-//! few objects would. The parts of a split shard have a history at once, and so has a merged shard.
+//! Counts are not kept by shard, because shards are split and merged. The hash space is a fixed grid of [`CELLS`]
+//! cells, and a shard's count is the sum of the cells that it covers, each by the covered fraction. Objects are spread
+//! evenly within a cell because positions are hashed, so a few cells with many registers estimate a shard better than
+//! its own few objects would. The parts of a split shard have a history at once, and so has a merged shard.
 //!
 //! A cell has [`REGISTERS`] registers. Each holds the object with the smallest hash assigned to it (order statistics,
 //! Lumbroso 2010), with the object's size and whether it was written. Because only this one object counts, repeated
 //! requests change nothing, and the registers' objects are an unbiased sample of all distinct ones, from which the mean
 //! size is computed. Registers are merged by maximum, so that repeated, late and merged buckets and restarts are not
-//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`ERROR`]. A `hyperloglogplus` sketch with separate
-//! sums was ruled out, because sums can't be merged by maximum.
+//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`ERROR`]. A `hyperloglogplus` sketch with
+//! separate sums was ruled out, because sums can't be merged by maximum.
 //!
-//! Memory does not depend on the number of shards: an instance uses 512 KB and at most [`MOST_WAITING`] for closed
+//! Memory does not depend on the number of shards: an instance uses 512 KB and at most [`MAX_WAITING_BYTES`] for closed
 //! buckets. For each register, the planner keeps only the buckets in which it increased, about the logarithm of the
 //! number of objects, in total 10 to 30 MB per zone.
 
@@ -34,12 +34,12 @@
 /// Maximum length of a member name in a document, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 /// Maximum memory of closed buckets that wait to be written, in bytes; beyond it, the oldest are merged.
-pub const MOST_WAITING: usize = 16 << 20;
+pub const MAX_WAITING_BYTES: usize = 16 << 20;
 /// Member name of the base document, in which the planner keeps the buckets that are no longer part of the history.
 const BASE_MEMBER: &str = "~base";
 
-/// Returns a register: the rank of the hash (6 bits), its next 11 bits inverted, the logarithm of the size (14 bits), and
-/// whether the object was written (1 bit). The smallest hash gives the largest register; 0 is an empty register.
+/// Returns a register: the rank of the hash (6 bits), its next 11 bits inverted, the logarithm of the size (14 bits),
+/// and whether the object was written (1 bit). The smallest hash gives the largest register; 0 is an empty register.
 fn register(hash: u64, kb: f64, write: bool) -> u32 {
     let hash = hash | 1 << (CELL_BITS + REGISTER_BITS - 1);
     let leading_zeros = hash.leading_zeros();
@@ -59,9 +59,9 @@
     (f64::from(register >> 1 & 16_383) / 256.0 - 16.0).exp2()
 }
 
-/// Estimates the distinct objects of a cell with `non_empty` non-empty registers; `sum` is the sum of the smallest hashes, in
-/// which an empty register counts 1. One formula covers small and large counts, so that a series has no step where two
-/// estimators would meet.
+/// Estimates the distinct objects of a cell with `non_empty` non-empty registers; `sum` is the sum of the smallest
+/// hashes, in which an empty register counts 1. One formula covers small and large counts, so that a series has no step
+/// where two estimators would meet.
 fn estimate_distinct(non_empty: f64, sum: f64) -> f64 {
     let bias_correction = 1.0 - 1.0 / REGISTERS as f64;
     REGISTERS as f64 * non_empty * bias_correction / sum.max(1e-12)
@@ -173,8 +173,8 @@
     }
 
     /// Counts a request that filled an object because no cache had it (`new_fill`), or that wrote the object. Other
-    /// requests are not growth. Each `part` of an object is cached, and so counted, separately. Computes a hash, compares
-    /// one register and allocates nothing.
+    /// requests are not growth. Each `part` of an object is cached, and so counted, separately. Computes a hash,
+    /// compares one register and allocates nothing.
     pub fn record(&mut self, object: u64, part: u64, kb: f64, new_fill: bool, write: bool) {
         if !(new_fill || write) {
             return;
@@ -189,9 +189,9 @@
         }
     }
 
-    /// Closes the open bucket if its time is over, and queues it to be written; called about once a second. Requests since
-    /// the last call count towards that bucket. After the clock was set back, nothing is closed until it has caught up.
-    /// Returns whether a bucket was closed.
+    /// Closes the open bucket if its time is over, and queues it to be written; called about once a second. Requests
+    /// since the last call count towards that bucket. After the clock was set back, nothing is closed until it has
+    /// caught up. Returns whether a bucket was closed.
     pub fn close(&mut self, now_unix_ms: u64) -> bool {
         let now = bucket_of(now_unix_ms, self.settings.bucket);
         let open = *self.bucket.get_or_insert(now);
@@ -203,7 +203,8 @@
         self.bucket = Some(now);
         let most = self.settings.waiting.max(1);
         let size = |w: &VecDeque<Document>| w.iter().map(Document::size).sum::<usize>();
-        while self.waiting.len() > 1 && (self.waiting.len() > most || size(&self.waiting) > MOST_WAITING) {
+        while self.waiting.len() > 1 && (self.waiting.len() > most || size(&self.waiting) > MAX_WAITING_BYTES)
+        {
             let Some(oldest) = self.waiting.pop_front() else { break };
             if let Some(next) = self.waiting.front_mut() {
                 next.merge_older(&oldest);
@@ -217,8 +218,8 @@
         Document::new(&self.member, self.incarnation, bucket, registers)
     }
 
-    /// Returns the key and value of the open bucket. It is written periodically and before the process ends, so that its
-    /// counts are not lost with the process. Later writes under the same key include all earlier counts.
+    /// Returns the key and value of the open bucket. It is written periodically and before the process ends, so that
+    /// its counts are not lost with the process. Later writes under the same key include all earlier counts.
     pub fn current(&self) -> Option<(String, Vec<u8>)> {
         let document = self.open_document(self.bucket?);
         Some((document.key(&self.zone), document.encode()))
@@ -258,8 +259,8 @@
 /// The history of one cell of the grid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Cell {
-    /// Buckets in which the cell grew, relative to the first known one, each with the numbers of distinct objects and of
-    /// written objects up to then.
+    /// Buckets in which the cell grew, relative to the first known one, each with the numbers of distinct objects and
+    /// of written objects up to then.
     levels: Vec<(u64, [f64; 2])>,
     /// Number of non-empty registers.
     samples: f64,
@@ -336,9 +337,9 @@
         Ok(())
     }
 
-    /// Returns a base document of all buckets up to the oldest one of the history. It is written before the keys of older
-    /// buckets are deleted; otherwise a new planner would count objects that were requested long ago as new. `None` until
-    /// the history is full.
+    /// Returns a base document of all buckets up to the oldest one of the history. It is written before the keys of
+    /// older buckets are deleted; otherwise a new planner would count objects that were requested long ago as new.
+    /// `None` until the history is full.
     pub fn base(&self) -> Option<Document> {
         let oldest = self.oldest();
         let is_full = oldest > 0 && self.known.first().is_some_and(|&b| b <= oldest);
@@ -378,8 +379,9 @@
         Some(history)
     }
 
-    /// Returns the history of the objects from `start` through `last`, one point per bucket, oldest first; empty without
-    /// any document. `cells` are the results of [`GrowthHistory::cell`] for all cells, after the last merged document.
+    /// Returns the history of the objects from `start` through `last`, one point per bucket, oldest first; empty
+    /// without any document. `cells` are the results of [`GrowthHistory::cell`] for all cells, after the last merged
+    /// document.
     pub fn series(&self, cells: &[Cell], start: u64, last: u64) -> Vec<Point> {
         let Some(&first) = self.known.first() else { return Vec::new() };
         let bucket_count = self.newest.saturating_sub(first).min(self.buckets - 1) as usize + 1;
--- a/src/growth/forecast.rs
+++ b/src/growth/forecast.rs
@@ -4,12 +4,12 @@
 //! far. An endpoint with less capacity evicts objects, which splits are to prevent. Growth is summed over days, and the
 //! days are compared by medians. The trend is the Theil-Sen estimator (the median of all slopes between days, which
 //! tolerates 29% outliers); it is used only where the Mann-Kendall test finds a trend, and damped for the future. The
-//! weekly seasonality is the median of each bucket of the week. A flood of objects requested only once, or a purge, thus
-//! changes the level, which is real, but not the growth; gaps are left out. With less than two weeks of data there is no
-//! seasonality, and with less than four days spans of equal length replace the days.
+//! weekly seasonality is the median of each bucket of the week. A flood of objects requested only once, or a purge,
+//! thus changes the level, which is real, but not the growth; gaps are left out. With less than two weeks of data there
+//! is no seasonality, and with less than four days spans of equal length replace the days.
 //!
-//! Ruled out: `augurs` (MSTL with ETS), which fits by least squares and does not support gaps. For a shard that grows by
-//! 33,600 in two weeks it forecast 33,057, and only 2,848 after one flood of 12 hours four days before the end. One
+//! Ruled out: `augurs` (MSTL with ETS), which fits by least squares and does not support gaps. For a shard that grows
+//! by 33,600 in two weeks it forecast 33,057, and only 2,848 after one flood of 12 hours four days before the end. One
 //! series of six weeks took 27 to 35 ms, and 10,000 series about five minutes.
 
 use super::buckets::{Point, ERROR};
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Forecast {
     /// The history is too short for a forecast.
-    TooLittle {
+    InsufficientHistory {
         /// Number of known buckets. A forecast needs [`MIN_KNOWN_BUCKETS`], and at least four spans with known growth.
         known: usize,
     },
@@ -94,8 +94,8 @@
     (below + high) / 2.0
 }
 
-/// Returns the two-sided quantile of a confidence level, in standard deviations. It uses the logistic distribution, which
-/// is slightly wider than the normal distribution.
+/// Returns the two-sided quantile of a confidence level, in standard deviations. It uses the logistic distribution,
+/// which is slightly wider than the normal distribution.
 fn quantile_of(level: f64) -> f64 {
     let above = (1.0 + level.clamp(0.0, 0.999)) / 2.0;
     (above / (1.0 - above)).ln() / 1.7
@@ -134,7 +134,8 @@
     medians.iter().map(|m| (m / mean) as f32).collect()
 }
 
-/// Returns the growth of each span without seasonality, the latest last; `None` where less than half of a span is known.
+/// Returns the growth of each span without seasonality, the latest last; `None` where less than half of a span is
+/// known.
 fn spans(increments: &[Option<f64>], first: u64, span: usize, seasonality: &[f32]) -> Vec<Option<f64>> {
     let skip = increments.len() % span;
     let part = |bucket: u64| match seasonality.len() {
@@ -155,8 +156,8 @@
     all[all.len().saturating_sub(MAX_SPANS)..].to_vec()
 }
 
-/// Returns the rate of growth at the end of the history and its change from span to span; the change is 0 where it is not
-/// statistically significant.
+/// Returns the rate of growth at the end of the history and its change from span to span; the change is 0 where it is
+/// not statistically significant.
 fn fit_trend(spans: &[(f64, f64)]) -> (f64, f64) {
     let span_count = spans.len();
     let mut slopes = Vec::with_capacity(span_count * span_count / 2);
@@ -171,7 +172,8 @@
     let standard_deviation = (n * (n - 1.0) * (2.0 * n + 5.0) / 18.0).sqrt();
     let latest = &spans[span_count.saturating_sub(LATEST_SPANS)..];
     let slope = if score.abs() as f64 > 2.0 * standard_deviation { median(&mut slopes) } else { 0.0 };
-    // The current rate is that of the latest spans: a line through all spans is wrong at its end if growth is not linear.
+    // The current rate is that of the latest spans: a line through all spans is wrong at its end if growth is not
+    // linear.
     if slope < 0.0 {
         // A falling rate falls by the same fraction each span; a linear decline would soon be negative.
         let of = |spans: &[(f64, f64)]| median(&mut spans.iter().map(|s| s.1).collect::<Vec<_>>());
@@ -191,9 +193,11 @@
     pub fn of(history: &[Point], settings: &Settings) -> Self {
         let known = history.iter().filter(is_usable).count();
         let last = history.iter().rev().find(is_usable);
-        let (Some(last), Some(first)) = (last, history.first()) else { return Forecast::TooLittle { known } };
+        let (Some(last), Some(first)) = (last, history.first()) else {
+            return Forecast::InsufficientHistory { known };
+        };
         if known < MIN_KNOWN_BUCKETS {
-            return Forecast::TooLittle { known };
+            return Forecast::InsufficientHistory { known };
         }
         // Growth belongs to the later of the two buckets between which it is measured.
         let first = first.bucket.saturating_add(1).min(u64::MAX / 4);
@@ -209,7 +213,7 @@
         let known_spans = spans.iter().enumerate().filter_map(|(n, s)| Some((n as f64 - end, (*s)?)));
         let known_spans: Vec<(f64, f64)> = known_spans.collect();
         if known_spans.len() < MIN_SPANS {
-            return Forecast::TooLittle { known };
+            return Forecast::InsufficientHistory { known };
         }
         let (rate, slope) = fit_trend(&known_spans);
         let falls = slope < 0.0 && rate > 0.0;
@@ -254,7 +258,8 @@
     /// Returns the forecast size `buckets` buckets after the last known one. Sizes do not shrink.
     pub fn after(&self, buckets: u64) -> Interval {
         let horizon = self.spans_in(buckets);
-        // A rising rate rises by less each future span; a falling rate falls by the same fraction and so stays positive.
+        // A rising rate rises by less each future span; a falling rate falls by the same fraction and so stays
+        // positive.
         let change = |spans: f64| {
             TREND_DAMPING / (1.0 - TREND_DAMPING)
                 * (spans - (1.0 - TREND_DAMPING.powf(spans)) / (1.0 - TREND_DAMPING) * TREND_DAMPING)
@@ -280,8 +285,8 @@
         Interval { low: self.level + low, middle: self.level + growth, high: self.level + high }
     }
 
-    /// Returns the buckets in which the high end, the middle and the low end of the forecast reach a size; `None` if that
-    /// is more than `ahead` buckets after the last known one.
+    /// Returns the buckets in which the high end, the middle and the low end of the forecast reach a size; `None` if
+    /// that is more than `ahead` buckets after the last known one.
     pub fn reaches(&self, kb: f64, ahead: u64) -> [Option<u64>; 3] {
         [|i: Interval| i.high, |i: Interval| i.middle, |i: Interval| i.low].map(|end| {
             // Forecast sizes never decrease, so a binary search finds the first bucket.
--- a/src/growth/mod.rs
+++ b/src/growth/mod.rs
@@ -1,8 +1,8 @@
 //! Growth of shards: counts of newly requested objects, forecasts of shard sizes, and splits scheduled ahead of time.
 //!
-//! Every instance counts newly requested objects ([`buckets::GrowthCounter`]) and writes the counts to the registry; the planner
-//! merges the documents, forecasts each shard and schedules splits ([`ahead::GrowthPlanner`]). None of these modules reads a
-//! clock or does I/O; `proxy::rebalancing` owns them.
+//! Every instance counts newly requested objects ([`buckets::GrowthCounter`]) and writes the counts to the registry;
+//! the planner merges the documents, forecasts each shard and schedules splits ([`ahead::GrowthPlanner`]). None of
+//! these modules reads a clock or does I/O; `proxy::rebalancing` owns them.
 
 pub mod ahead;
 pub mod buckets;
--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -1,9 +1,9 @@
-//! Schedule of splits ahead of time. A split is scheduled in the last quiet window that leaves a later window for moving
-//! one half before the shard is full by the early end of its forecast. A split moves no data: both halves keep their home,
-//! and a later move relieves the endpoint.
+//! Schedule of splits ahead of time. A split is scheduled in the last quiet window that leaves a later window for
+//! moving one half before the shard is full by the early end of its forecast. A split moves no data: both halves keep
+//! their home, and a later move relieves the endpoint.
 //!
-//! The planner schedules shard by shard, in slices of its choice. The schedule is a document in the registry, so that the
-//! next planner continues with it after a failure; an applied split shows in the map.
+//! The planner schedules shard by shard, in slices of its choice. The schedule is a document in the registry, so that
+//! the next planner continues with it after a failure; an applied split shows in the map.
 
 use super::forecast::Forecast;
 use super::{decode_document, encode_document, GrowthError, Settings};
@@ -58,7 +58,7 @@
         /// Start of the shard.
         start: u64,
         /// Time at which the shard is full, in Unix milliseconds.
-        full: u64,
+        full_at_ms: u64,
     },
     /// The shard is too small to split.
     TooSmall {
@@ -66,21 +66,25 @@
         start: u64,
     },
     /// The maximum number of splits is scheduled.
-    TooManySplits,
+    TooMany,
 }
 
 impl std::fmt::Display for Notice {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Notice::NoWindow { start, full } => write!(
+            Notice::NoWindow { start, full_at_ms } => write!(
                 f,
-                "shard {start:016x} may be full at {full} (Unix ms), and no two windows before then fit a split and a \
-                 move: extend the quiet windows or add an endpoint"
+                "shard {start:016x} may be full at {full_at_ms} (Unix ms), and no two windows before then fit a \
+                 split and a move: extend the quiet windows or add an endpoint"
             ),
             Notice::TooSmall { start } => {
-                write!(f, "shard {start:016x} will be full and cannot be split further: add an endpoint or raise its weight")
+                write!(
+                    f,
+                    "shard {start:016x} will be full but is too small to split: add an endpoint or raise its \
+                     weight"
+                )
             }
-            Notice::TooManySplits => write!(f, "the maximum of {MAX_SPLITS} splits of one zone is scheduled: add endpoints"),
+            Notice::TooMany => write!(f, "the maximum of {MAX_SPLITS} splits is scheduled: add endpoints"),
         }
     }
 }
@@ -125,8 +129,8 @@
     }
 
     /// Schedules one shard again. `windows` are the zone's quiet windows from now on, ordered by start and including an
-    /// open one; `moves_ms` is how long moving half of the shard takes, in milliseconds. The run time depends only on the
-    /// number of windows.
+    /// open one; `moves_ms` is how long moving half of the shard takes, in milliseconds. The run time depends only on
+    /// the number of windows.
     pub fn plan(
         &mut self,
         now_ms: u64,
@@ -149,21 +153,21 @@
         };
         let Some(middle) = shard.middle() else { return Some(Notice::TooSmall { start: shard.start }) };
         if scheduled.is_none() && self.splits.len() >= MAX_SPLITS {
-            return Some(Notice::TooManySplits);
+            return Some(Notice::TooMany);
         }
         // The shard becomes full at some time in that bucket; the start of the bucket is the earliest time.
-        let full = (u128::from(full_bucket) * u128::from(self.settings.bucket) / 1_000) as u64;
+        let full_at_ms = (u128::from(full_bucket) * u128::from(self.settings.bucket) / 1_000) as u64;
         let ahead = || windows.iter().copied().filter(|w| w.1 > now_ms && w.0 < w.1);
-        let fits_move = |w: &Window| w.1 <= full && w.1 - w.0.max(now_ms) >= moves_ms;
+        let fits_move = |w: &Window| w.1 <= full_at_ms && w.1 - w.0.max(now_ms) >= moves_ms;
         let move_window = ahead().filter(fits_move).max_by_key(|w| w.0);
         let before = move_window.and_then(|m| ahead().filter(|w| w.1 <= m.0).max_by_key(|w| w.0));
         // Too late for a split and a move: schedules the split in the next window, and the planner can move a half
         // afterwards.
         let Some(window) = before.or_else(|| ahead().min_by_key(|w| w.0)) else {
-            return Some(Notice::NoWindow { start: shard.start, full });
+            return Some(Notice::NoWindow { start: shard.start, full_at_ms });
         };
-        self.splits.insert(shard.start, Split { start: shard.start, middle, window, full_at_ms: full });
-        before.is_none().then_some(Notice::NoWindow { start: shard.start, full })
+        self.splits.insert(shard.start, Split { start: shard.start, middle, window, full_at_ms });
+        before.is_none().then_some(Notice::NoWindow { start: shard.start, full_at_ms })
     }
 
     /// Returns the splits whose window is open, ordered by the time at which their shard is full.
@@ -216,9 +220,10 @@
     }
 }
 
-/// Returns the growth of the fills of a zone's shards in each of the coming weeks, relative to today's, by the high end of
-/// the forecasts. With it, the check of site plans finds the week from which on the loss of a site exceeds the capacity.
-pub fn factors<'a>(
+/// Returns the growth of the fills of a zone's shards in each of the coming weeks, relative to today's, by the high end
+/// of the forecasts. With it, the check of site plans finds the week from which on the loss of a site exceeds the
+/// capacity.
+pub fn weekly_growth_factors<'a>(
     forecasts: impl Iterator<Item = &'a Forecast> + Clone,
     weeks: u64,
     settings: &Settings,
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -1,6 +1,6 @@
 use super::buckets::{bucket_of, Document, GrowthCounter, GrowthHistory, Point, CELLS};
 use super::forecast::Forecast;
-use super::splits::{factors, first_week_over_capacity, Notice, Scheduler, Shard};
+use super::splits::{first_week_over_capacity, weekly_growth_factors, Notice, Scheduler, Shard};
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -174,8 +174,8 @@
 proptest! {
     #![proptest_config(seeded(32))]
 
-    /// A flood, a purge and a gap at any time do not change the forecast growth, with and without daily seasonality, for
-    /// histories of days and of weeks.
+    /// A flood, a purge and a gap at any time do not change the forecast growth, with and without daily seasonality,
+    /// for histories of days and of weeks.
     #[test]
     fn floods_purges_and_gaps_do_not_change_the_forecast_growth(
         flood in 0u64..900, purge in 0u64..900, gap in 0u64..900, lasts in 1u64..60, long: bool, seasonal: bool,
@@ -193,7 +193,8 @@
         prop_assert!((ahead / 33_600.0 - 1.0).abs() < 0.1, "{ahead}: {} {}", disturbed.rate, disturbed.slope);
     }
 
-    /// Any history is forecast without a panic, and the high end reaches a size first, then the middle, then the low end.
+    /// Any history is forecast without a panic, and the high end reaches a size first, then the middle, then the low
+    /// end.
     #[test]
     fn any_history_reaches_a_size_by_the_high_middle_and_low_end_in_order(
         kb in proptest::collection::vec((any::<f64>(), any::<bool>()), 0..500), bucket in 1u64..100_000_000_000,
@@ -214,13 +215,13 @@
 #[test]
 fn a_short_history_gives_no_forecast() {
     let history = points(|n| n as f64, 100, |n| n % 15 == 0);
-    assert_eq!(Forecast::of(&history, &Settings::default()), Forecast::TooLittle { known: 7 });
-    assert_eq!(Forecast::of(&[], &Settings::default()), Forecast::TooLittle { known: 0 });
+    assert_eq!(Forecast::of(&history, &Settings::default()), Forecast::InsufficientHistory { known: 7 });
+    assert_eq!(Forecast::of(&[], &Settings::default()), Forecast::InsufficientHistory { known: 0 });
 }
 
-/// Time at which the shard of [`growing`] is full by the early end of its forecast: earlier than by its middle by 10 hours
-/// of growth, the standard error of the counts.
-const FULL: u64 = 500_390 * HOUR_MS;
+/// Time at which the shard of [`growing`] is full by the early end of its forecast: earlier than by its middle by 10
+/// hours of growth, the standard error of the counts.
+const FULL_AT_MS: u64 = 500_390 * HOUR_MS;
 
 /// Returns a shard with 300 hours of history that grows by 100 KB per hour and is full 101 hours later, its forecast, a
 /// window of 4 hours each day, and the current time.
@@ -240,13 +241,16 @@
     let split = *scheduler.scheduled().next().unwrap();
     assert_eq!(
         (split.window, split.full_at_ms),
-        (windows[2], FULL),
+        (windows[2], FULL_AT_MS),
         "the fourth window is left for the move"
     );
     // A new planner keeps the stored schedule while it has no forecast, and schedules the same split once it has one.
     let mut next_scheduler = Scheduler::decode(Settings::default(), &scheduler.encode()).unwrap();
     assert_eq!(next_scheduler, scheduler);
-    assert_eq!(next_scheduler.plan(now, &shard, &Forecast::TooLittle { known: 0 }, &[], HOUR_MS), None);
+    assert_eq!(
+        next_scheduler.plan(now, &shard, &Forecast::InsufficientHistory { known: 0 }, &[], HOUR_MS),
+        None
+    );
     assert_eq!(next_scheduler.plan(now, &shard, &forecast, &windows, HOUR_MS), None);
     assert_eq!(next_scheduler, scheduler);
     assert!(next_scheduler.due(windows[2].0 - 1).is_empty() && next_scheduler.due(windows[2].1).is_empty());
@@ -265,7 +269,7 @@
 fn a_notice_is_given_if_no_window_is_in_time() {
     let (shard, forecast, windows, now) = growing();
     let mut scheduler = Scheduler::new(Settings::default());
-    let notice = Notice::NoWindow { start: 0, full: FULL };
+    let notice = Notice::NoWindow { start: 0, full_at_ms: FULL_AT_MS };
     assert!(notice.to_string().contains("extend the quiet windows or add an endpoint"));
     let too_late = Some(notice);
     assert_eq!(
@@ -307,14 +311,14 @@
     let quadratic = Forecast::of(&points(|n| (n * n) as f64, 1_008, |_| true), &Settings::default());
     let linear = Forecast::of(&points(|n| n as f64, 1_008, |_| true), &Settings::default());
     let settings = Settings::default();
-    let weeks = factors([&linear].into_iter(), 8, &settings);
+    let weeks = weekly_growth_factors([&linear].into_iter(), 8, &settings);
     assert_eq!(first_week_over_capacity(&weeks, |f| f < 1.01), None, "{weeks:?}");
-    let weeks = factors([&quadratic, &linear].into_iter(), 8, &settings);
+    let weeks = weekly_growth_factors([&quadratic, &linear].into_iter(), 8, &settings);
     assert_eq!(first_week_over_capacity(&weeks, |f| f < 1.25), Some(2), "{weeks:?}");
 }
 
-/// For 200 shards with steady growth, daily seasonality and the counts' error, planned daily, fewer than 2 of 100 splits
-/// and their moves come too late. `measure-growth` prints the table for all forms of growth.
+/// For 200 shards with steady growth, daily seasonality and the counts' error, planned daily, fewer than 2 of 100
+/// splits and their moves come too late. `measure-growth` prints the table for all forms of growth.
 #[test]
 fn fewer_than_two_percent_of_splits_come_too_late() {
     let settings = Settings::default();
--- a/src/placement/follow.rs
+++ b/src/placement/follow.rs
@@ -108,8 +108,8 @@
         self.map.as_ref().map_or(0, |map| map.epoch)
     }
 
-    /// Returns the assignments for the routing constraints (see [`ShardMap::assignments`]). Without a map there are none,
-    /// and the hash order decides.
+    /// Returns the assignments for the routing constraints (see [`ShardMap::assignments`]). Without a map there are
+    /// none, and the hash order decides.
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
         self.map.as_ref().map_or_else(Arc::default, |map| map.assignments(rate, lateral))
     }
--- a/src/placement/follow/tests.rs
+++ b/src/placement/follow/tests.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// With any sequence of valid, truncated and missing documents, the last good map stays, epochs only increase, and a
-    /// problem is logged once while it lasts.
+    /// With any sequence of valid, truncated and missing documents, the last good map stays, epochs only increase, and
+    /// a problem is logged once while it lasts.
     #[test]
     fn any_sequence_of_documents_keeps_the_last_good_map_and_increasing_epochs(
         maps in proptest::collection::vec((any_map(), 0u32..6, 0u8..4), 1..40),
--- a/src/placement/load.rs
+++ b/src/placement/load.rs
@@ -1,5 +1,5 @@
-//! Measured request load of shards. Each instance counts the work of its requests in a fixed grid over the hash space of
-//! objects and periodically writes it under its own name; the planner adds up the documents of all instances.
+//! Measured request load of shards. Each instance counts the work of its requests in a fixed grid over the hash space
+//! of objects and periodically writes it under its own name; the planner adds up the documents of all instances.
 
 #[cfg(test)]
 mod tests;
--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -142,8 +142,8 @@
         self.shards.binary_search_by_key(&start, |s| s.start).ok()
     }
 
-    /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to an
-    /// endpoint, in transfers at full rate (the instance's part of [`max_warming_kb_s`]).
+    /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to
+    /// an endpoint, in transfers at full rate (the instance's part of [`max_warming_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
         let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
         let assignment = |shard: &Shard| ShardAssignment {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The registry is the source of truth, with a map and a plan of moves for each zone. Every instance follows its zone's
 //! map ([`follow`]). The instance that holds the planner's lease changes it ([`planner`]): [`rebalance`] chooses the
-//! moves, and [`quiet`] says when they may be made. None of these modules reads a clock, and only [`snapshot`] does I/O;
-//! `proxy::rebalancing` owns them.
+//! moves, and [`quiet`] says when they may be made. None of these modules reads a clock, and only [`snapshot`] does
+//! I/O; `proxy::rebalancing` owns them.
 
 mod document;
 pub mod error;
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,5 +1,5 @@
-//! State machine that carries out the moves, splits and merges of one zone, one at a time, as transactions on the zone's
-//! map and plan of moves.
+//! State machine that carries out the moves, splits and merges of one zone, one at a time, as transactions on the
+//! zone's map and plan of moves.
 //!
 //! Every instance has a [`Planner`] for each zone. `proxy::rebalancing` steps it while the instance holds the planner's
 //! lease, and sends its transactions to the registry.
@@ -326,8 +326,8 @@
         possible
     }
 
-    /// Returns the first map, or the last good one again. Its epoch is above all epochs that the instances, this planner
-    /// or the plan of moves have recorded.
+    /// Returns the first map, or the last good one again. Its epoch is above all epochs that the instances, this
+    /// planner or the plan of moves have recorded.
     fn first_map(&self, input: &PlannerInput, mut moves: Moves, notices: &mut Vec<Notice>) -> Proposal {
         let applied = input.instances.iter().flatten().copied().max().unwrap_or(0);
         let epoch = applied.max(self.last_good_epoch()).max(moves.epoch).saturating_add(1);
@@ -403,7 +403,8 @@
         (!input.accepts_requests(&active.to)).then_some(Reason::TargetGone)
     }
 
-    /// Makes the target the shard's home once the warming has lasted as planned and every instance has applied its epoch.
+    /// Makes the target the shard's home once the warming has lasted as planned and every instance has applied its
+    /// epoch.
     fn cut_over(
         &mut self,
         input: &PlannerInput,
--- a/src/placement/planner/input.rs
+++ b/src/placement/planner/input.rs
@@ -78,8 +78,8 @@
         Some(if self.is_same_window(moves) { end_ms.min(moves.window_ends_ms) } else { end_ms })
     }
 
-    /// Returns the deadline for deciding on a cutover, in Unix milliseconds: its transaction must have committed or been
-    /// cancelled, which takes up to a lease, before the window ends by any instance's clock.
+    /// Returns the deadline for deciding on a cutover, in Unix milliseconds: its transaction must have committed or
+    /// been cancelled, which takes up to a lease, before the window ends by any instance's clock.
     pub(super) fn last_cutover_ms(&self, window_end_ms: u64) -> u64 {
         window_end_ms.saturating_sub(self.settings.lease / MICROS_PER_MS).saturating_sub(self.skew_ms)
     }
--- a/src/placement/quiet.rs
+++ b/src/placement/quiet.rs
@@ -37,7 +37,7 @@
 /// How far ahead windows are searched, in milliseconds: five weeks.
 pub const LOOKAHEAD_MS: u64 = 35 * DAY_MS as u64;
 /// Maximum period that [`Calendar::windows`] covers, in milliseconds: 400 days; later windows are left out.
-pub const LONGEST_MS: u64 = 400 * DAY_MS as u64;
+pub const MAX_SPAN_MS: u64 = 400 * DAY_MS as u64;
 const DAY_MS: i64 = 86_400_000;
 const MINUTE_MS: i64 = 60_000;
 
@@ -82,9 +82,9 @@
     }
 
     /// Returns the quiet spans of a zone between two times, in Unix milliseconds: in order, merged, without blackouts,
-    /// and clipped to the two times and to at most [`LONGEST_MS`].
+    /// and clipped to the two times and to at most [`MAX_SPAN_MS`].
     pub fn windows(&self, zone: &str, from_ms: u64, to_ms: u64) -> Vec<(u64, u64)> {
-        let to_ms = to_ms.min(from_ms.saturating_add(LONGEST_MS));
+        let to_ms = to_ms.min(from_ms.saturating_add(MAX_SPAN_MS));
         let (Ok(from), Ok(to)) = (i64::try_from(from_ms), i64::try_from(to_ms)) else { return Vec::new() };
         let mut spans: Vec<Span> = Vec::new();
         for (_, window) in self.quiet.iter().filter(|q| q.0 == zone) {
@@ -116,8 +116,8 @@
         merged.into_iter().map(|s| (s.0 as u64, s.1 as u64)).collect()
     }
 
-    /// Returns the end of the zone's current quiet span, in Unix milliseconds and at most [`LOOKAHEAD_MS`] ahead; `None` if
-    /// the zone is not quiet now.
+    /// Returns the end of the zone's current quiet span, in Unix milliseconds and at most [`LOOKAHEAD_MS`] ahead;
+    /// `None` if the zone is not quiet now.
     pub fn quiet_at(&self, zone: &str, unix_ms: u64) -> Option<u64> {
         self.next_window(zone, unix_ms).filter(|w| w.0 <= unix_ms).map(|w| w.1)
     }
--- a/src/placement/rebalance.rs
+++ b/src/placement/rebalance.rs
@@ -93,9 +93,10 @@
     }
 }
 
-/// Returns the moves to make, in order. While no endpoint is above the spread, only shards without a home move: each gets
-/// a home where the endpoint stays within the spread, so that the shards of a first map get their homes window by window.
-/// Equal inputs give equal moves. The load of shards whose home accepts no requests counts as spread over all endpoints.
+/// Returns the moves to make, in order. While no endpoint is above the spread, only shards without a home move: each
+/// gets a home where the endpoint stays within the spread, so that the shards of a first map get their homes window by
+/// window. Equal inputs give equal moves. The load of shards whose home accepts no requests counts as spread over all
+/// endpoints.
 pub fn rebalance(
     shards: &[ShardLoad],
     endpoints: &[EndpointCapacity],
--- a/src/placement/rebalance/balance.rs
+++ b/src/placement/rebalance/balance.rs
@@ -231,8 +231,8 @@
         moves
     }
 
-    /// Returns the movable shards of each endpoint; of an endpoint with more than [`MAX_CANDIDATES`], those with the most
-    /// load per kilobyte come first.
+    /// Returns the movable shards of each endpoint; of an endpoint with more than [`MAX_CANDIDATES`], those with the
+    /// most load per kilobyte come first.
     fn movable_shards(&self) -> Vec<Vec<usize>> {
         let mut movable: Vec<Vec<usize>> = vec![Vec::new(); self.parts.len()];
         for (shard, home) in self.homes.iter().enumerate() {
@@ -311,8 +311,8 @@
         }
     }
 
-    /// Returns the cheapest shard of endpoint `from`, smaller than `kb` kilobytes, and a target, with which the excess is
-    /// at most `most_excess`.
+    /// Returns the cheapest shard of endpoint `from`, smaller than `kb` kilobytes, and a target, with which the excess
+    /// is at most `most_excess`.
     fn cheaper_move(
         &self,
         from: usize,
@@ -333,8 +333,8 @@
             .find(|&(shard, to)| to != from && excess - self.gain(self.sizes[shard], from, to) <= most_excess)
     }
 
-    /// Orders moves by the largest reduction of the excess per kilobyte. A window may end before all moves are made; the
-    /// moves it cuts off should matter least, because a shard that has moved rests for a day.
+    /// Orders moves by the largest reduction of the excess per kilobyte. A window may end before all moves are made;
+    /// the moves it cuts off should matter least, because a shard that has moved rests for a day.
     pub(super) fn order_moves(mut self, mut moves: Vec<ShardMove>) -> Vec<ShardMove> {
         let mut ordered = Vec::with_capacity(moves.len());
         loop {
--- a/src/placement/rebalance/tests.rs
+++ b/src/placement/rebalance/tests.rs
@@ -109,9 +109,9 @@
 }
 
 proptest! {
-    /// With any loads and limits, the moves are deterministic and within the limits, none goes to an endpoint that accepts
-    /// no requests or is in slow start, none moves a resting shard, the excess decreases, and a second call has no more
-    /// moves once all endpoints are within the spread.
+    /// With any loads and limits, the moves are deterministic and within the limits, none goes to an endpoint that
+    /// accepts no requests or is in slow start, none moves a resting shard, the excess decreases, and a second call has
+    /// no more moves once all endpoints are within the spread.
     #[test]
     fn moves_respect_all_limits_reduce_the_excess_and_converge(
         shards in proptest::collection::vec((0usize..9, 0.0f64..50.0, 0.0f64..50.0, 0u8..8), 1..60),
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshot of the last good map on disk, if a folder is set: after a restart, an instance uses it while the registry is
-//! unreachable. Reading checks the checksum and the format. A dedicated thread writes, so that a slow disk does not block
-//! the event loop.
+//! Snapshot of the last good map on disk, if a folder is set: after a restart, an instance uses it while the registry
+//! is unreachable. Reading checks the checksum and the format. A dedicated thread writes, so that a slow disk does not
+//! block the event loop.
 
 #[cfg(test)]
 mod tests;
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -39,16 +39,16 @@
 
 fn write_notice(digest: &mut Digest, notice: &Notice) {
     match notice {
-        Notice::NoWindow { start, full } => {
+        Notice::NoWindow { start, full_at_ms } => {
             digest.tag(1);
             digest.number(*start);
-            digest.number(*full);
+            digest.number(*full_at_ms);
         }
         Notice::TooSmall { start } => {
             digest.tag(2);
             digest.number(*start);
         }
-        Notice::TooManySplits => digest.tag(3),
+        Notice::TooMany => digest.tag(3),
     }
 }
 
@@ -206,7 +206,7 @@
         };
         let history: Vec<Point> = (0..hours).map(point).collect();
         match Forecast::of(&history, &Settings::default()) {
-            Forecast::TooLittle { known } => {
+            Forecast::InsufficientHistory { known } => {
                 digest.tag(1);
                 digest.count(known);
             }
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -1,5 +1,6 @@
-//! Model check of two planners, the registry and two instances while one shard moves: lost replies, a lease that changes
-//! hands, a window that ends, instances that are late or restart, an endpoint that is removed, and a suspected site.
+//! Model check of two planners, the registry and two instances while one shard moves: lost replies, a lease that
+//! changes hands, a window that ends, instances that are late or restart, an endpoint that is removed, and a suspected
+//! site.
 //!
 //! The planners are the real implementation. The registry is a store with compares and a fence. A transaction without a
 //! reply within a lease's duration is cancelled, as the driver must do. One fault occurs in each run, at any time. To
@@ -311,8 +312,8 @@
                 for w in late {
                     f.planners[w.planner].handle_result(w.request.id, TransactionResult::Unknown);
                 }
-                // A planner with nothing to decide receives the documents and observes the time. Other planners may stay
-                // paused for any time.
+                // A planner with nothing to decide receives the documents and observes the time. Other planners may
+                // stay paused for any time.
                 for p in 0..2 {
                     let mut idle = f.clone();
                     if idle.fences[p].is_some() && !idle.planners[p].needs_documents() {
