--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -153,7 +153,7 @@
             capacity_kb: self.settings.box_kb * weight(s),
         };
         let shards: Vec<Shard> = map.shards.iter().zip(ends).map(shard).collect();
-        let work = shards.iter().map(|s| work.of(s.start, s.last)).collect();
+        let work = shards.iter().map(|s| work.in_range(s.start, s.last)).collect();
         if let Ok(Some(scheduler)) = &read {
             self.scheduler = scheduler.clone();
         }
--- a/src/placement/load.rs
+++ b/src/placement/load.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the work of the shard from `start` through `last`.
-    pub fn of(&self, start: u64, last: u64) -> f64 {
+    pub fn in_range(&self, start: u64, last: u64) -> f64 {
         let (width, end) = (1u128 << (64 - GRID_BITS), u128::from(last) + 1);
         let (first_cell, last_cell) =
             ((start >> (64 - GRID_BITS)) as usize, (last >> (64 - GRID_BITS)) as usize);
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -502,7 +502,7 @@
             let index = rng.random_range(0..map.shards.len());
             let start = map.shards[index].start;
             let next = map.shards.get(index + 1).map_or(u64::MAX, |shard| shard.start);
-            digest.float(merged.of(start, next - 1));
+            digest.float(merged.in_range(start, next - 1));
             let changed = match rng.random_bool(0.5) {
                 true => {
                     map.split(start, start + [0, 1, rng.random_range(0..1 << 60)][rng.random_range(0..3)], 50)
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -188,11 +188,11 @@
     work.add(0x91f0_3b7c_55d2_0a64, 1_500_000.0);
     let bytes = same_as_stored("stored/load.hex", &work.close(NOW_UNIX_MS + 2_000));
     let read = |now_ms| Work::merged(std::iter::once(bytes.as_slice()), now_ms);
-    assert_eq!(read(NOW_UNIX_MS + 3_000).of(0, u64::MAX), 2_250_000.0);
+    assert_eq!(read(NOW_UNIX_MS + 3_000).in_range(0, u64::MAX), 2_250_000.0);
     let at = placement::position(0x7f3a_9c21_e0b4_d655) >> 54 << 54;
-    assert_eq!(read(NOW_UNIX_MS + 3_000).of(at, at | ((1 << 54) - 1)), 1_500_000.0);
+    assert_eq!(read(NOW_UNIX_MS + 3_000).in_range(at, at | ((1 << 54) - 1)), 1_500_000.0);
     let two_days_ms = 2 * 86_400_000;
-    assert_eq!(read(NOW_UNIX_MS + 2_000 + two_days_ms).of(0, u64::MAX), 0.0, "its time is read");
+    assert_eq!(read(NOW_UNIX_MS + 2_000 + two_days_ms).in_range(0, u64::MAX), 0.0, "its time is read");
     assert_eq!(Work::key("branch", "door-1"), "load/branch/door-1");
 }
 
