--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -6,7 +6,7 @@
 //! is. A split is too late if the shard is full before the window of the move has ended. Baseline: split in the next
 //! window when full. What nothing foresees is told beside: shards that a flood fills which began under two days before.
 
-use larchdale::growth::buckets::{Document, GrowthCounter, GrowthHistory, Point, CELLS, ERROR};
+use larchdale::growth::buckets::{Document, GrowthCounter, GrowthHistory, Point, CELLS, STANDARD_ERROR};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{Scheduler, Shard};
 use larchdale::growth::Settings;
@@ -42,7 +42,7 @@
     let fade = rng.random_range(24.0 * 7.0..24.0 * 28.0);
     let swell = rng.random_range(0.0..0.02) / 24.0;
     let gap = rng.random_range(2..96);
-    let (mut size, mut off) = (rng.random_range(0.0..4_000.0), ERROR * normal(&mut rng));
+    let (mut size, mut off) = (rng.random_range(0.0..4_000.0), STANDARD_ERROR * normal(&mut rng));
     let (mut truth, mut points) = (Vec::with_capacity(many), Vec::with_capacity(many));
     for n in 0..many {
         let hour = n as f64;
@@ -59,7 +59,7 @@
         size += grown;
         // The sketch's error: as much of it is made anew as the shard has grown.
         let anew = (grown / size.max(1.0)).min(1.0);
-        off = off * (1.0 - anew) + ERROR * (2.0 * anew).sqrt() * normal(&mut rng);
+        off = off * (1.0 - anew) + STANDARD_ERROR * (2.0 * anew).sqrt() * normal(&mut rng);
         truth.push(size);
         let known = !(form == 5 && (at..at + gap).contains(&n));
         let kb = size * (1.0 + off);
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -10,7 +10,7 @@
 //! Lumbroso 2010), with the object's size and whether it was written. Because only this one object counts, repeated
 //! requests change nothing, and the registers' objects are an unbiased sample of all distinct ones, from which the mean
 //! size is computed. Registers are merged by maximum, so that repeated, late and merged buckets and restarts are not
-//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`ERROR`]. A `hyperloglogplus` sketch with
+//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`STANDARD_ERROR`]. A `hyperloglogplus` sketch with
 //! separate sums was ruled out, because sums can't be merged by maximum.
 //!
 //! Memory does not depend on the number of shards: an instance uses 512 KB and at most [`MAX_WAITING_BYTES`] for closed
@@ -25,7 +25,7 @@
 const CELL_BITS: u32 = 5;
 const REGISTER_BITS: u32 = 12;
 /// Standard error of a cell's count, as a fraction of the count.
-pub const ERROR: f64 = 1.0 / (1 << (REGISTER_BITS / 2)) as f64;
+pub const STANDARD_ERROR: f64 = 1.0 / (1 << (REGISTER_BITS / 2)) as f64;
 /// Number of cells of the hash space. Part of the documents' format.
 pub const CELLS: usize = 1 << CELL_BITS;
 /// Number of registers of one cell. Part of the documents' format.
--- a/src/growth/forecast.rs
+++ b/src/growth/forecast.rs
@@ -12,7 +12,7 @@
 //! by 33,600 in two weeks it forecast 33,057, and only 2,848 after one flood of 12 hours four days before the end. One
 //! series of six weeks took 27 to 35 ms, and 10,000 series about five minutes.
 
-use super::buckets::{Point, ERROR};
+use super::buckets::{Point, STANDARD_ERROR};
 use super::Settings;
 
 /// Minimum number of known buckets for a forecast.
@@ -279,7 +279,8 @@
         };
         let variance = horizon
             + horizon * horizon * (MEDIAN_VARIANCE / span_count.min(LATEST_SPANS as f64) + slope_variance);
-        let margin = self.quantile * (self.spread.powi(2) * variance + (ERROR * self.level).powi(2)).sqrt();
+        let margin =
+            self.quantile * (self.spread.powi(2) * variance + (STANDARD_ERROR * self.level).powi(2)).sqrt();
         // A falling rate may stop falling at any time, so the high end assumes at least the current rate.
         let (low, high) = ((growth - margin).max(0.0), growth.max(at_current_rate) + margin);
         Interval { low: self.level + low, middle: self.level + growth, high: self.level + high }
--- a/src/growth/tests.rs
+++ b/src/growth/tests.rs
@@ -324,7 +324,7 @@
     let settings = Settings::default();
     let mut too_late = 0;
     for n in 0..200u64 {
-        let off = |hour: u64| super::buckets::ERROR * (n as f64 + hour as f64 / 300.0).sin();
+        let off = |hour: u64| super::buckets::STANDARD_ERROR * (n as f64 + hour as f64 / 300.0).sin();
         let expected = |hour: u64| {
             (20 + n) as f64 * (hour as f64 + 4.0 * (hour as f64 / 24.0 * std::f64::consts::TAU).sin())
         };
