--- a/src/placement/load.rs
+++ b/src/placement/load.rs
@@ -1,5 +1,5 @@
-//! Measured request load of shards. Each instance counts the work of its requests in a fixed grid over the hash space of
-//! objects and periodically writes it under its own name; the planner adds up the documents of all instances.
+//! Measured request load of shards. Each instance counts the work of its requests in a fixed grid over the hash space
+//! of objects and periodically writes it under its own name; the planner adds up the documents of all instances.
 
 #[cfg(test)]
 mod tests;
@@ -88,7 +88,7 @@
     }
 
     /// Returns the work of the shard from `start` through `last`.
-    pub fn of(&self, start: u64, last: u64) -> f64 {
+    pub fn in_range(&self, start: u64, last: u64) -> f64 {
         let (width, end) = (1u128 << (64 - GRID_BITS), u128::from(last) + 1);
         let (first_cell, last_cell) =
             ((start >> (64 - GRID_BITS)) as usize, (last >> (64 - GRID_BITS)) as usize);
--- a/src/placement/planner/tests.rs
+++ b/src/placement/planner/tests.rs
@@ -85,9 +85,9 @@
                 for (key, value) in transaction.puts {
                     self.documents[usize::from(key == "/s/moves/1")] = Some((value, self.revision));
                 }
-                self.planner.answered(transaction.id, TransactionResult::Committed(self.revision));
+                self.planner.handle_result(transaction.id, TransactionResult::Committed(self.revision));
             }
-            if self.planner.wants_documents() {
+            if self.planner.needs_documents() {
                 self.read();
             }
         }
@@ -95,7 +95,7 @@
 
     fn read(&mut self) {
         let [map, moves] = self.documents.each_ref().map(|d| d.as_ref().map(|d| (&d.0[..], d.1)));
-        self.planner.documents(map, moves, &mut self.notices);
+        self.planner.update_documents(map, moves, &mut self.notices);
     }
 
     fn map(&self) -> Option<ShardMap> {
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -39,16 +39,16 @@
 
 fn write_notice(digest: &mut Digest, notice: &Notice) {
     match notice {
-        Notice::NoWindow { start, full } => {
+        Notice::NoWindow { start, full_at_ms } => {
             digest.tag(1);
             digest.number(*start);
-            digest.number(*full);
+            digest.number(*full_at_ms);
         }
         Notice::TooSmall { start } => {
             digest.tag(2);
             digest.number(*start);
         }
-        Notice::TooManySplits => digest.tag(3),
+        Notice::TooMany => digest.tag(3),
     }
 }
 
@@ -206,7 +206,7 @@
         };
         let history: Vec<Point> = (0..hours).map(point).collect();
         match Forecast::of(&history, &Settings::default()) {
-            Forecast::TooLittle { known } => {
+            Forecast::InsufficientHistory { known } => {
                 digest.tag(1);
                 digest.count(known);
             }
@@ -220,7 +220,7 @@
                     let after = trend.after(buckets);
                     digest.floats(&[after.low, after.middle, after.high]);
                 }
-                for passes in trend.passes(trend.level * 1.01, 700) {
+                for passes in trend.reaches(trend.level * 1.01, 700) {
                     digest.option(passes, Digest::number);
                 }
                 (0..4).for_each(|week| digest.floats(&trend.factor(week, 168)));
@@ -253,7 +253,7 @@
                 let history: Vec<Point> = (0..hours).map(point).collect();
                 let start = number as u64 * width;
                 let home = Some(["a", "b"][number / 4].into());
-                let shard = Shard { start, last: start + width - 1, home, box_kb: 140_000.0 };
+                let shard = Shard { start, last: start + width - 1, home, capacity_kb: 140_000.0 };
                 let forecast = Forecast::of(&history, &settings);
                 let moves_ms = rng.random_range(0..6 * HOUR_MS);
                 let notice = scheduler.plan(now * HOUR_MS, &shard, &forecast, &windows, moves_ms);
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -300,7 +300,7 @@
     fn read(&mut self) {
         let [map, moves] = self.documents.each_ref().map(|d| d.as_ref().map(|d| (&d.0[..], d.1)));
         let mut notices = Vec::new();
-        self.planner.documents(map, moves, &mut notices);
+        self.planner.update_documents(map, moves, &mut notices);
         self.notices(&notices);
     }
 
@@ -335,8 +335,8 @@
                 write_transaction(&mut self.digest, &transaction);
                 self.commit(transaction);
             }
-            self.digest.flag(self.planner.wants_documents());
-            if self.planner.wants_documents() {
+            self.digest.flag(self.planner.needs_documents());
+            if self.planner.needs_documents() {
                 self.read();
             }
         }
@@ -369,10 +369,10 @@
     fn commit(&mut self, transaction: Transaction) {
         let reply_lost = self.rng.random_ratio(1, 20);
         if reply_lost && self.rng.random_bool(0.5) {
-            return self.planner.answered(transaction.id, TransactionResult::Unknown);
+            return self.planner.handle_result(transaction.id, TransactionResult::Unknown);
         }
         if self.rng.random_ratio(1, 30) {
-            return self.planner.answered(transaction.id, TransactionResult::Rejected);
+            return self.planner.handle_result(transaction.id, TransactionResult::Rejected);
         }
         self.revision += 1;
         for (key, value) in transaction.puts {
@@ -380,7 +380,7 @@
         }
         let answer =
             if reply_lost { TransactionResult::Unknown } else { TransactionResult::Committed(self.revision) };
-        self.planner.answered(transaction.id, answer);
+        self.planner.handle_result(transaction.id, answer);
     }
 
     fn follow(&mut self) {
@@ -502,7 +502,7 @@
             let index = rng.random_range(0..map.shards.len());
             let start = map.shards[index].start;
             let next = map.shards.get(index + 1).map_or(u64::MAX, |shard| shard.start);
-            digest.float(merged.of(start, next - 1));
+            digest.float(merged.in_range(start, next - 1));
             let changed = match rng.random_bool(0.5) {
                 true => {
                     map.split(start, start + [0, 1, rng.random_range(0..1 << 60)][rng.random_range(0..3)], 50)
