--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! The route of a request's next attempt, and its sending.
+//! Routes and sends the attempts of a request.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::{Action, Class, Fetch, Id, Request, Role};
@@ -7,15 +7,16 @@
 use super::Router;
 use std::collections::BTreeMap;
 
-/// Part of the mean transfer time assumed of a request of unknown size: sizes are skewed, the median is
-/// smaller.
+/// Fraction of the mean transfer time that is assumed for a request of unknown size: the distribution of
+/// sizes is skewed, and its median is below its mean.
 const UNKNOWN_SIZE_FRACTION: f64 = 0.6;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Rank of a copy that is kept, and of one that is not.
+/// Cache priority of a copy that the cache keeps.
 const KEEP_PRIORITY: u8 = 1;
+/// Cache priority of a copy that the cache does not keep.
 const DO_NOT_KEEP: u8 = 0;
 
-/// The attempt that each timer was set for.
+/// Attempts by the token of their timer.
 #[derive(Default)]
 pub(super) struct AttemptTimers {
     by_token: BTreeMap<u64, (Id, u32)>,
@@ -23,23 +24,23 @@
 }
 
 impl AttemptTimers {
-    /// Sets a timer for an attempt; returns its token.
+    /// Registers a timer for an attempt and returns its token.
     fn start(&mut self, request: Id, attempt: u32) -> u64 {
         self.last_token += 1;
         self.by_token.insert(self.last_token, (request, attempt));
         self.last_token
     }
 
-    /// Request and attempt number of a timer that is due.
+    /// Removes a timer that is due and returns its request and attempt number.
     pub(super) fn take(&mut self, token: u64) -> Option<(Id, u32)> {
         self.by_token.remove(&token)
     }
 }
 
-/// Where an attempt goes.
+/// Endpoints and fetch options of one attempt.
 struct Route {
     target: EndpointIndex,
-    /// Where a miss is filled from.
+    /// The endpoint that a miss is filled from.
     source: Option<EndpointIndex>,
     /// `None`: a plain request to the origin.
     fetch: Option<Fetch>,
@@ -60,7 +61,7 @@
         self.send_or_finish(pending, actions);
     }
 
-    /// Sends the next attempt, or gives the final answer at once where none can help.
+    /// Sends the next attempt, or finishes the request at once if it has no route.
     pub(super) fn send_or_finish(&mut self, mut pending: PendingRequest, actions: &mut Vec<Action>) {
         let Some(route) = self.route(&pending) else {
             return self.finish_without_response(pending, actions);
@@ -81,8 +82,8 @@
         self.pending.insert(id, pending);
     }
 
-    /// Takes that the client has left. An attempt is cancelled only where it does no harm to have it run in
-    /// part.
+    /// Handles a client's disconnection. An attempt is cancelled only if the request is idempotent, so that
+    /// partial execution does no harm.
     pub(super) fn abandon_request(&mut self, request: Id, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get_mut(&request) else { return };
         pending.client = ClientState::Disconnected;
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Time that a request's transfer takes at full pace; a class's mean is learned from the sizes that are
-    /// told.
+    /// Returns the expected transfer time of a request at the full transfer rate, in microseconds. A known
+    /// size also updates the mean of the request's class.
     fn expect_transfer_time(&mut self, request: &Request) -> f64 {
         if request.size_kb > 0.0 && self.settings.transfer_rate_kb_s > 0.0 {
             let transfer_time_us = request.size_kb / self.settings.transfer_rate_kb_s * MICROS_PER_SECOND;
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Counts an attempt that is sent now at one of its participants.
+    /// Records an attempt that is being sent at one of its participants.
     fn record_attempt_at(&mut self, index: EndpointIndex, pending: &PendingRequest) {
         let slow_start_budget = self.slow_start_budget(index);
         let transfer_time_us = self.transfer_times.mean_us(pending.request.class);
@@ -130,12 +131,13 @@
         upstream.concurrency.in_flight.increment(self.now);
         upstream.outliers.attempt_started();
         if let Some(budget) = slow_start_budget {
-            upstream.slow_start.sent.book(self.now, budget.window, transfer_time_us);
+            upstream.slow_start.sent.record(self.now, budget.window, transfer_time_us);
         }
         self.constraints.record_sent(self.now, &upstream.endpoint.id, pending.transfer_time_us);
     }
 
-    /// Counts an attempt that is sent now by its target and the fill that it may cause.
+    /// Records the load of an attempt that is being sent: the fill that it may cause, the warming of its
+    /// target, and the request in flight at a cache.
     fn record_attempt_to(&mut self, route: &Route, pending: &PendingRequest) {
         let target = &self.endpoints[route.target].endpoint;
         if route.source.is_some() || target.role != Role::Cache {
@@ -162,19 +164,19 @@
         self.route_by_cache(pending, class)
     }
 
-    /// The route by a cache, or straight to the source where no cache can be asked.
+    /// Returns the route through a cache, or straight to the source if no cache can take the request.
     fn route_by_cache(&self, pending: &PendingRequest, class: &Class) -> Option<Route> {
         let source = self.fill_source(pending, class);
         let is_lookup_useless = class.uncacheable || pending.copy_at_cache == CachedCopy::Absent;
         if source.is_none() && is_lookup_useless {
             return None;
         }
-        let crowded_origin = self.crowded_origin(&pending.request, class, source);
+        let congested_origin = self.congested_origin(&pending.request, class, source);
         let is_copy_absent = pending.copy_at_source == CachedCopy::Absent;
-        if is_copy_absent && crowded_origin.is_some_and(|origin| !self.has_capacity(origin)) {
+        if is_copy_absent && congested_origin.is_some_and(|origin| !self.has_capacity(origin)) {
             return None;
         }
-        let cached_only = crowded_origin.is_some() && !is_copy_absent;
+        let cached_only = congested_origin.is_some() && !is_copy_absent;
         let target = self.pick_cache(pending).or_else(|| source.filter(|_| self.may_bypass_caches()))?;
         let source = if source == Some(target) {
             self.pick_origin(pending).filter(|&origin| origin != target && !cached_only)
@@ -185,8 +187,9 @@
         Some(Route { target, source, fetch: Some(fetch) })
     }
 
-    /// Where a miss is filled from. Beyond what links and sources can bring, all fills would come late and
-    /// occupy the caches: then there is none, and a cache only serves what it has.
+    /// Returns the endpoint that a miss is filled from. `None` when links and sources are at their limits:
+    /// more fills would make all fills late and occupy the caches, so a cache serves only the copies that it
+    /// has.
     fn fill_source(&self, pending: &PendingRequest, class: &Class) -> Option<EndpointIndex> {
         if class.uncacheable {
             return self.pick_origin(pending).or_else(|| self.pick_source(pending));
@@ -196,10 +199,10 @@
         self.pick_source(pending).filter(|_| admits_fill)
     }
 
-    /// The origin, where it would delay the answers of a parent: it is late, or the copies were purged and it
-    /// has no capacity for the fills. Then the parents are asked for what they have cached, and the rest
-    /// waits for capacity.
-    fn crowded_origin(
+    /// Returns the origin if it would delay the responses of a parent: it answers late, or the object was
+    /// purged and the origin has no capacity for the refills. The parents are then asked only for cached
+    /// copies, and other requests need capacity at the origin.
+    fn congested_origin(
         &self,
         request: &Request,
         class: &Class,
@@ -209,12 +212,12 @@
         let origin = self.endpoints.origin()?;
         let is_behind_parent = self.endpoints[source].endpoint.role == Role::Parent;
         let is_late = || self.endpoints[origin].latency.late_rate > TOLERATED_LATE_RATE;
-        let is_full_of_refills = || self.purged_at(request).is_some() && !self.has_capacity(origin);
-        (is_behind_parent && (is_late() || is_full_of_refills())).then_some(origin)
+        let lacks_refill_capacity = || self.purged_at(request).is_some() && !self.has_capacity(origin);
+        (is_behind_parent && (is_late() || lacks_refill_capacity())).then_some(origin)
     }
 
-    /// Whether requests may go straight to a source. They fill the zone's link: only where no cache is
-    /// listed, or the fleet's constraints say so.
+    /// Returns whether requests may go straight to a source. Such requests load the zone's link, so they are
+    /// allowed only if no cache is listed or the constraints ask for it.
     fn may_bypass_caches(&self) -> bool {
         let has_no_caches = self.endpoints.of_role(Role::Cache).is_empty();
         self.settings.may_bypass_caches && (self.constraints.bypass_caches() || has_no_caches)
@@ -225,7 +228,7 @@
             source: self.endpoints[source].endpoint.id.clone(),
             max_age: self.accepted_age(request),
             cache_priority: if class.uncacheable { DO_NOT_KEEP } else { KEEP_PRIORITY },
-            // A fill in flight since before a purge would hand out the old copy.
+            // A fill that started before a purge would return the old copy.
             join_fill: self.settings.may_join_fills && self.purged_at(request).is_none(),
             cached_only,
             revalidate: class.fresh_for > 0 && !self.constraints.force_stale(),
--- a/src/routing/capacity.rs
+++ b/src/routing/capacity.rs
@@ -1,39 +1,41 @@
-//! Sizes of endpoints, and this router's fair share of each.
+//! Sizes of endpoints, and this router's fair share of each size.
 //!
-//! A size is what an endpoint can send, counted in transfers at full pace. It is advertised as the endpoint's
-//! weight, or guessed from the zones' links.
+//! The size of an endpoint is its capacity, as the number of concurrent transfers at the full rate. It is
+//! advertised as the endpoint's weight, or estimated from the zones' links.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::{Endpoint, Role};
 use super::Router;
 
-/// Part of a zone's load that its link in is built for: the misses, with room to spare.
+/// Fraction of a zone's load that its inbound link is provisioned for: the misses, with headroom.
 const LINK_FRACTION: f64 = 0.5;
-/// Part of the parents' work that reaches the origin.
+/// Fraction of the parents' load that reaches the origin.
 const ORIGIN_FRACTION: f64 = 0.5;
-/// The same for a router with a small share of the parents, which would learn of a queue at the origin too
-/// late.
+/// Fraction of the parents' load that reaches the origin, for a router with a small share of the parents,
+/// which would notice a queue at the origin too late.
 pub(super) const SMALL_SHARE_ORIGIN_FRACTION: f64 = 0.2;
-/// Share of all parents, in transfers, below which a router's share is small.
+/// Share of all parents, in concurrent transfers, below which a router's share is small.
 pub(super) const SMALL_PARENT_SHARE: f64 = 10.0;
-/// Size of an endpoint of which nothing is known.
+/// Size of an endpoint without any size information, in concurrent transfers.
 const MIN_SIZE: f64 = 2.0;
-/// Least fair share: enough for tens of thousands of routers. An average in flight can still fall below it.
+/// Minimum fair share, in concurrent transfers: low enough for tens of thousands of routers. A decaying
+/// average of attempts in flight can still fall below it.
 const MIN_FAIR_SHARE: f64 = 0.001;
 
 impl Router {
-    /// This router's part of what an endpoint can do: its size, over the routers that may send to it.
+    /// Returns this router's fair share of an endpoint: its size divided by the number of routers that may
+    /// send to it.
     pub(super) fn fair_share(&self, index: EndpointIndex) -> f64 {
         let endpoint = &self.endpoints[index].endpoint;
         let size = match endpoint.role {
             Role::Cache | Role::Parent => self.size(endpoint),
             Role::Origin => self.origin_size(endpoint),
         };
-        (size.max(MIN_SIZE) / self.sharers(endpoint)).max(MIN_FAIR_SHARE)
+        (size.max(MIN_SIZE) / self.sharing_routers(endpoint)).max(MIN_FAIR_SHARE)
     }
 
-    /// The number of routers that may send to an endpoint.
-    pub(super) fn sharers(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the number of routers that may send to an endpoint.
+    pub(super) fn sharing_routers(&self, endpoint: &Endpoint) -> f64 {
         let in_zone = match endpoint.role {
             Role::Cache => self.settings.routers_by_zone.get(endpoint.zone).copied(),
             Role::Parent | Role::Origin => None,
@@ -42,14 +44,14 @@
         f64::from(routers.max(1))
     }
 
-    /// The size in the endpoint's own list entry.
+    /// Returns the size that the endpoint's list entry advertises, if weights are sizes.
     pub(super) fn advertised_size(&self, endpoint: &Endpoint) -> Option<f64> {
         let weight = endpoint.weight;
         (self.settings.weights_are_sizes && weight.is_finite() && weight > 0.0).then_some(weight)
     }
 
-    /// A size that is rather too low than too high: a cold endpoint falls over when it is sent too much.
-    pub(super) fn low_size(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns a size that is more likely too low than too high: a cold endpoint fails when it is overloaded.
+    pub(super) fn conservative_size(&self, endpoint: &Endpoint) -> f64 {
         let settings = &self.settings;
         let link_kb_s = if endpoint.role == Role::Parent {
             settings.zone_link_kb_s.get(settings.zone).copied()
@@ -60,8 +62,8 @@
         self.advertised_size(endpoint).unwrap_or(guess.max(MIN_SIZE))
     }
 
-    /// The link in KB a second that one cache is built for, in the zone where it is smallest for the caches
-    /// listed. The least so far stays: where caches are lost, the link makes the others look too large.
+    /// Returns the link bandwidth per listed cache, in KB/s, in the zone where it is smallest, or an earlier
+    /// result if that was smaller: after a loss of caches the others would seem too large.
     pub(super) fn find_smallest_cache_link_kb_s(&self) -> Option<f64> {
         let links = &self.settings.zone_link_kb_s;
         let mut caches_by_zone = vec![0.0; links.len()];
@@ -91,7 +93,8 @@
         load / self.endpoints.of_role(Role::Cache).len().max(1) as f64
     }
 
-    /// The parents are built to carry all zones with one parent lost.
+    /// Returns a parent's link bandwidth in KB/s: the parents are provisioned to carry all zones with one
+    /// parent lost.
     fn link_of_parent_kb_s(&self) -> f64 {
         let parents = self.endpoints.of_role(Role::Parent).len();
         self.settings.zone_link_kb_s.iter().sum::<f64>() / parents.saturating_sub(1).max(1) as f64
@@ -100,7 +103,7 @@
     fn origin_size(&self, origin: &Endpoint) -> f64 {
         let parents = self.endpoints.of_role(Role::Parent).iter();
         let parents_size: f64 = parents.map(|&parent| self.size(&self.endpoints[parent].endpoint)).sum();
-        if parents_size / self.sharers(origin) < SMALL_PARENT_SHARE {
+        if parents_size / self.sharing_routers(origin) < SMALL_PARENT_SHARE {
             SMALL_SHARE_ORIGIN_FRACTION * parents_size
         } else {
             ORIGIN_FRACTION * parents_size
--- a/src/routing/concurrency.rs
+++ b/src/routing/concurrency.rs
@@ -1,7 +1,8 @@
-//! Limits on this router's attempts in flight at each endpoint.
+//! Adaptive limits on this router's attempts in flight at each endpoint.
 //!
-//! A limit begins at the fair share, rises while answers are in time, and is cut when they are late. A limit
-//! below one attempt is kept on average over some seconds, so that the parts of hundreds of routers add up.
+//! A limit starts near the fair share, rises while responses are in time, and is cut when they are late. A
+//! limit below one attempt is enforced on average over some seconds, so that the sum over hundreds of routers
+//! is right.
 
 use super::capacity::{SMALL_PARENT_SHARE, SMALL_SHARE_ORIGIN_FRACTION};
 use super::endpoint_table::EndpointIndex;
@@ -9,18 +10,19 @@
 use super::latency::{Timeliness, TOLERATED_LATE_RATE};
 use super::Router;
 
-/// Square roots of a limit below one that may be in flight above it for a moment.
-pub(super) const BURST_ROOTS: f64 = 2.0;
-/// Span over which a limit below one attempt is kept on average.
+/// Number of square roots of a limit below one by which attempts in flight may briefly exceed the limit.
+pub(super) const BURST_DEVIATIONS: f64 = 2.0;
+/// Time constant of the average that a limit below one attempt applies to, in microseconds.
 const AVERAGE_SPAN_US: f64 = 4e6;
-/// Factor of a limit after one late answer.
+/// Factor applied to a limit after a late response.
 pub(super) const LIMIT_CUT_FACTOR: f64 = 0.85;
-/// Time between two cuts: answers to attempts under the old limit must not cut the new one.
+/// Minimum time between two cuts, in microseconds: responses to attempts that were sent under the old limit
+/// must not cut the new one.
 const LIMIT_CUT_INTERVAL_US: Micros = 200_000;
-/// Most by which one answer in time raises a limit: quick answers must not outweigh slow ones that are late.
+/// Maximum relative rise of a limit per response in time: fast responses must not outweigh slow, late ones.
 const MAX_LIMIT_RISE: f64 = 0.05;
 
-/// Attempts in flight at one endpoint, or through it, now and on average.
+/// Number of attempts in flight at or through one endpoint, current and average.
 #[derive(Default)]
 pub(super) struct InFlight {
     count: u32,
@@ -58,13 +60,13 @@
     }
 }
 
-/// The most that this router keeps in flight at one endpoint.
+/// Limit on this router's attempts in flight at one endpoint.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
     pub(super) in_flight: InFlight,
-    /// This router's part of what the endpoint can do; a cut goes no lower.
+    /// This router's share of the endpoint's size; a cut does not go below it.
     pub(super) fair_share: f64,
-    /// 0: not set; infinite: not learned.
+    /// Maximum number of attempts in flight; 0: not set; infinite: not learned.
     limit: f64,
     last_cut_at: Micros,
 }
@@ -74,11 +76,11 @@
         Some(self.limit).filter(|limit| limit.is_normal())
     }
 
-    /// Takes an answer in time: a limit that is at least half used rises.
-    fn raise(&mut self, used: f64, ceiling: Option<f64>, answer_weight: f64) {
+    /// Raises a limit that is at least half used after a response in time.
+    fn raise(&mut self, used: f64, ceiling: Option<f64>, response_weight: f64) {
         let at_ceiling = ceiling.is_some_and(|ceiling| self.limit >= ceiling);
         if used >= self.limit / 2.0 && !at_ceiling {
-            self.limit += (1.0 / self.limit).min(self.limit * MAX_LIMIT_RISE * answer_weight);
+            self.limit += (1.0 / self.limit).min(self.limit * MAX_LIMIT_RISE * response_weight);
         }
     }
 
@@ -86,7 +88,7 @@
         now >= self.last_cut_at.saturating_add(LIMIT_CUT_INTERVAL_US)
     }
 
-    /// Takes a late answer, with the most that was in flight.
+    /// Cuts the limit after a late response; `peak` is the number of attempts that were in flight.
     fn cut(&mut self, now: Micros, peak: f64) {
         self.limit = (self.limit.min(peak) * LIMIT_CUT_FACTOR).max(self.fair_share);
         self.last_cut_at = now;
@@ -94,9 +96,10 @@
 }
 
 impl Router {
-    /// Whether an endpoint can take one more attempt of this router. Below a limit of one, few of many
-    /// routers are busy at a time: each may exceed its limit for a moment, or objects would go to caches that
-    /// lack them. The origin gets no bursts: it fails beyond its capacity.
+    /// Returns whether this router may send one more attempt to an endpoint. With limits below one, only a
+    /// few of many routers are busy at a time, so each may briefly exceed its limit; otherwise objects would
+    /// go to caches that do not hold them. The origin is exempt from bursts because it fails above its
+    /// capacity.
     pub(super) fn has_capacity(&self, index: EndpointIndex) -> bool {
         let upstream = &self.endpoints[index];
         let (in_flight, limit) = (upstream.concurrency.in_flight.count(), upstream.concurrency.limit);
@@ -105,12 +108,12 @@
         }
         let burst = match upstream.endpoint.role {
             Role::Origin => 1.0,
-            Role::Cache | Role::Parent => limit + BURST_ROOTS * limit.sqrt(),
+            Role::Cache | Role::Parent => limit + BURST_DEVIATIONS * limit.sqrt(),
         };
         in_flight < burst && self.average_in_flight(index) < limit
     }
 
-    /// Sets fair shares and first limits of all endpoints that requests may be sent to.
+    /// Sets the fair share of all eligible endpoints, and the limit of those that have none yet.
     pub(super) fn refresh_limits(&mut self) {
         let parents = self.endpoints.of_role(Role::Parent).iter();
         let parent_limits = parents.filter_map(|&parent| self.endpoints[parent].concurrency.known_limit());
@@ -118,7 +121,8 @@
         for index in self.endpoints.eligible() {
             let fair_share = self.fair_share(index);
             let limit = if self.has_unknown_size(index) {
-                // A limit guessed from nothing would refuse what could be served: late fills set it.
+                // A limit without any size information would reject requests that could be served; late fills
+                // set it.
                 shared_parent_limit.unwrap_or(f64::INFINITY)
             } else {
                 let known = self.endpoints[index].concurrency.known_limit();
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Takes one answer of an endpoint: the limit follows.
+    /// Adjusts the limit after a response of an endpoint.
     pub(super) fn adjust_limit(&mut self, index: EndpointIndex, timeliness: Timeliness) {
         match timeliness {
             Timeliness::InTime => self.raise_limit(index, 1.0),
@@ -138,8 +142,8 @@
         }
     }
 
-    /// Raises the limit after an answer in time, which counts `answer_weight` times.
-    pub(super) fn raise_limit(&mut self, index: EndpointIndex, answer_weight: f64) {
+    /// Raises the limit after a response in time that counts `response_weight` times.
+    pub(super) fn raise_limit(&mut self, index: EndpointIndex, response_weight: f64) {
         let average = self.average_in_flight(index);
         let concurrency = &self.endpoints[index].concurrency;
         let in_flight = concurrency.in_flight.count();
@@ -151,11 +155,11 @@
             let upstream = &mut self.endpoints[peer];
             let ceiling = is_capped.then_some(upstream.concurrency.fair_share / SMALL_SHARE_ORIGIN_FRACTION);
             upstream.objects.restore();
-            upstream.concurrency.raise(used, ceiling, answer_weight);
+            upstream.concurrency.raise(used, ceiling, response_weight);
         }
     }
 
-    /// Cuts the limit after a late answer, if late ones are frequent.
+    /// Cuts the limit after a late response if late responses are frequent.
     pub(super) fn cut_limit(&mut self, index: EndpointIndex) {
         let average = self.average_in_flight(index);
         let in_flight = self.endpoints[index].concurrency.in_flight.count();
@@ -169,8 +173,9 @@
         }
     }
 
-    /// The endpoints that share one limit and one record of late answers. Parents of unknown size do: one of
-    /// many routers sees too little of each to learn its size.
+    /// Returns the endpoints that share one limit and one rate of late responses with this one. Parents of
+    /// unknown size share them: each of many routers sees too few responses of a single parent to learn its
+    /// size.
     pub(super) fn limit_group(&self, index: EndpointIndex) -> Vec<EndpointIndex> {
         let parents = self.endpoints.of_role(Role::Parent);
         if self.has_unknown_size(index) && parents.contains(&index) {
@@ -180,7 +185,7 @@
         }
     }
 
-    /// Attempts in flight on average of late at an endpoint, or at each of its limit group.
+    /// Returns the recent average of attempts in flight at an endpoint, or per endpoint of its limit group.
     fn average_in_flight(&self, index: EndpointIndex) -> f64 {
         let average = |index| self.endpoints[index].concurrency.in_flight.average_at(self.now);
         if !self.has_unknown_size(index) {
@@ -190,14 +195,15 @@
         group.iter().map(|&peer| average(peer)).sum::<f64>() / group.len() as f64
     }
 
-    /// Whether it is a parent, and the settings tell nothing that its size could be guessed from.
+    /// Returns whether an endpoint is a parent whose size the settings give no basis to estimate.
     fn has_unknown_size(&self, index: EndpointIndex) -> bool {
-        self.endpoints[index].endpoint.role == Role::Parent && !self.settings.tells_sizes()
+        self.endpoints[index].endpoint.role == Role::Parent && !self.settings.has_size_information()
     }
 
-    /// Other routers may be idle; the more of them share an endpoint, the less that varies.
+    /// Returns an initial limit above the fair share, because other routers may be idle. The margin shrinks
+    /// as more routers share the endpoint and their total load varies less.
     fn first_limit(&self, index: EndpointIndex, fair_share: f64) -> f64 {
-        let sharers = self.sharers(&self.endpoints[index].endpoint);
-        fair_share + fair_share * (BURST_ROOTS / sharers.sqrt()).min(1.0)
+        let sharing_routers = self.sharing_routers(&self.endpoints[index].endpoint);
+        fair_share + fair_share * (BURST_DEVIATIONS / sharing_routers.sqrt()).min(1.0)
     }
 }
--- a/src/routing/constraints/tests.rs
+++ b/src/routing/constraints/tests.rs
@@ -1,4 +1,4 @@
-//! Accounts of the fleet's constraints.
+//! Rate limits, shard assignments and warming rates of constraints.
 
 use super::{ConstraintTracker, Constraints, RateLimit, ShardAssignment, Warming};
 use crate::placement::position;
@@ -15,7 +15,7 @@
 }
 
 proptest! {
-    /// For any times and sizes, no window holds more than the bound and nothing is sent unasked.
+    /// For any times and amounts of work, the work sent in one window does not exceed the limit.
     #[test]
     fn no_window_exceeds_the_rate_limit(
         rate in 0.2f64..8.0,
@@ -30,8 +30,8 @@
             if tracker.admits(now, &server, work, 0.0) {
                 tracker.record_sent(now, &server, work);
                 if hit {
-                    tracker.take_back_sent(&server, now);
-                    tracker.take_back_fill(0, now);
+                    tracker.refund_sent(&server, now);
+                    tracker.refund_fill(0, now);
                 } else {
                     sent.push((now, work));
                 }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_rate_below_one_request_is_sent_in_turn_and_a_rate_of_zero_never() {
+fn rate_below_one_request_per_window_spaces_requests_and_rate_zero_admits_none() {
     let bounds =
         vec![RateLimit { endpoint: "a".into(), rate: 0.01 }, RateLimit { endpoint: "b".into(), rate: 0.0 }];
     let mut tracker = tracker(Constraints { rate_limits: bounds, ..Constraints::default() });
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn objects_belong_to_the_shard_that_contains_their_position() {
+fn object_belongs_to_the_shard_that_contains_its_position() {
     let shard = |start, to: &str| ShardAssignment { start, endpoint: Some(to.into()), warming: None };
     let middle = 1 << 63;
     let tracker =
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn warming_takes_its_rate_and_no_more() {
+fn warming_requests_use_the_warming_rate_and_do_not_exceed_it() {
     let warming = Some(Warming { endpoint: "b".into(), rate: 0.5, lateral: true });
     let shards = [ShardAssignment { start: 0, endpoint: Some("a".into()), warming }].into();
     let mut tracker = tracker(Constraints { shards, ..Constraints::default() });
     let (object, mut sent) = (7, 0);
     for now in (S..S + 10 * S).step_by(1_000) {
-        let Some(turn) = tracker.warming_turn(now, object, 100_000.0) else { continue };
-        let (target, source) = (turn.target.clone(), turn.source.cloned());
+        let Some(warming) = tracker.warming_endpoints(now, object, 100_000.0) else { continue };
+        let (target, source) = (warming.target.clone(), warming.source.cloned());
         assert_eq!((&*target, source.as_deref()), ("b", Some("a")));
         tracker.record_warming(now, object, 100_000.0, &target);
         sent += 1;
--- a/src/routing/endpoint_table.rs
+++ b/src/routing/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! All upstream endpoints of a router by index, id and role.
+//! Table of a router's upstream endpoints by index, id and role.
 
 use super::endpoint::Upstream;
 use super::events::{Endpoint, EndpointState, Id, Micros, Role};
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
-/// Place of an endpoint in an [`EndpointTable`]. It belongs to another endpoint only after the first was
-/// removed and nothing refers to it any more.
+/// Slot of an endpoint in an [`EndpointTable`]. The slot is reused only after its endpoint was removed and
+/// nothing refers to it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EndpointIndex(usize);
 
-/// The endpoints and, for each role, those that requests may be sent to.
+/// All endpoints and, for each role, the eligible ones: those that requests may be sent to.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     upstreams: Vec<Upstream>,
@@ -19,7 +19,7 @@
     caches: Vec<EndpointIndex>,
     parents: Vec<EndpointIndex>,
     origins: Vec<EndpointIndex>,
-    /// Reads of the endpoints' records.
+    /// Number of reads of endpoint records; counted in tests only.
     pub(super) lookups: LookupCounter,
 }
 
@@ -44,7 +44,7 @@
         self.by_id.get(id).copied()
     }
 
-    /// The endpoints of a role that this router may send to.
+    /// Returns the eligible endpoints of a role.
     pub(super) fn of_role(&self, role: Role) -> &[EndpointIndex] {
         match role {
             Role::Cache => &self.caches,
@@ -53,25 +53,25 @@
         }
     }
 
-    /// The endpoints of all roles that this router may send to.
+    /// Returns the eligible endpoints of all roles.
     pub(super) fn eligible(&self) -> Vec<EndpointIndex> {
         [&self.caches[..], &self.parents, &self.origins].concat()
     }
 
-    /// The one origin, if this router may send to it.
+    /// Returns the origin, if it is eligible.
     pub(super) fn origin(&self) -> Option<EndpointIndex> {
         self.origins.first().copied()
     }
 
-    /// The healthy entries of a role, also those that this router may not send to.
+    /// Returns the list entries of all healthy endpoints of a role, eligible or not.
     pub(super) fn healthy(&self, role: Role) -> impl Iterator<Item = &Endpoint> {
         self.lookups.add(self.upstreams.len());
         let entries = self.upstreams.iter().map(|upstream| &upstream.endpoint);
         entries.filter(move |entry| entry.role == role && entry.state == EndpointState::Healthy)
     }
 
-    /// Takes a list update; a `complete` one names every endpoint. Endpoints in `referenced` keep their
-    /// places.
+    /// Applies a list update; a `complete` update names every endpoint. The slots in `referenced` are not
+    /// reused.
     pub(super) fn apply_update(
         &mut self,
         now: Micros,
@@ -79,7 +79,7 @@
         endpoints: Vec<Endpoint>,
         referenced: &BTreeSet<EndpointIndex>,
     ) {
-        let mut reusable = self.reusable_places(referenced);
+        let mut reusable = self.reusable_slots(referenced);
         if complete {
             for upstream in &mut self.upstreams {
                 upstream.endpoint.state = EndpointState::Removed;
@@ -90,49 +90,49 @@
                 reusable.remove(&index);
                 self[index].update(now, endpoint);
             } else {
-                let place = reusable.pop_last().unwrap_or_else(|| self.append_place());
-                self.occupy(place, now, endpoint);
+                let slot = reusable.pop_last().unwrap_or_else(|| self.append_slot());
+                self.assign_slot(slot, now, endpoint);
             }
         }
     }
 
-    /// Recomputes the endpoints that requests may be sent to.
+    /// Recomputes the eligible endpoints: the healthy ones that `is_reachable` accepts.
     pub(super) fn refresh_eligible(&mut self, is_reachable: impl Fn(&Endpoint) -> bool) {
         self.caches.clear();
         self.parents.clear();
         self.origins.clear();
         self.lookups.add(self.upstreams.len());
-        for (place, upstream) in self.upstreams.iter().enumerate() {
+        for (slot, upstream) in self.upstreams.iter().enumerate() {
             let entry = &upstream.endpoint;
             if entry.state != EndpointState::Healthy || !is_reachable(entry) {
                 continue;
             }
             match entry.role {
-                Role::Cache => self.caches.push(EndpointIndex(place)),
-                Role::Parent => self.parents.push(EndpointIndex(place)),
-                Role::Origin => self.origins.push(EndpointIndex(place)),
+                Role::Cache => self.caches.push(EndpointIndex(slot)),
+                Role::Parent => self.parents.push(EndpointIndex(slot)),
+                Role::Origin => self.origins.push(EndpointIndex(slot)),
             }
         }
     }
 
-    /// The places of removed endpoints that nothing refers to.
-    fn reusable_places(&self, referenced: &BTreeSet<EndpointIndex>) -> BTreeSet<EndpointIndex> {
+    /// Returns the slots of removed endpoints that nothing refers to.
+    fn reusable_slots(&self, referenced: &BTreeSet<EndpointIndex>) -> BTreeSet<EndpointIndex> {
         self.lookups.add(self.upstreams.len());
         let removed = self.upstreams.iter().enumerate().filter(|(_, upstream)| {
             upstream.endpoint.state == EndpointState::Removed && upstream.concurrency.in_flight.is_empty()
         });
-        let places = removed.map(|(place, _)| EndpointIndex(place));
-        places.filter(|index| !referenced.contains(index)).collect()
+        let slots = removed.map(|(slot, _)| EndpointIndex(slot));
+        slots.filter(|index| !referenced.contains(index)).collect()
     }
 
-    fn append_place(&mut self) -> EndpointIndex {
+    fn append_slot(&mut self) -> EndpointIndex {
         self.upstreams.push(Upstream::default());
         EndpointIndex(self.upstreams.len() - 1)
     }
 
-    fn occupy(&mut self, place: EndpointIndex, now: Micros, endpoint: Endpoint) {
-        self.by_id.insert(endpoint.id.clone(), place);
-        let previous = std::mem::replace(&mut self[place], Upstream::new(endpoint, now));
+    fn assign_slot(&mut self, slot: EndpointIndex, now: Micros, endpoint: Endpoint) {
+        self.by_id.insert(endpoint.id.clone(), slot);
+        let previous = std::mem::replace(&mut self[slot], Upstream::new(endpoint, now));
         self.by_id.remove(&previous.endpoint.id);
     }
 }
--- a/src/routing/events.rs
+++ b/src/routing/events.rs
@@ -1,15 +1,14 @@
-//! The interface of the router: its settings, the events it is handed and the actions it asks for. Types
-//! only.
+//! The router's interface: its settings, the events that it handles and the actions that it requests.
 //!
-//! Times and spans are whole microseconds of one clock that never goes back.
+//! Times and durations are whole microseconds of one monotonic clock.
 
 use std::sync::Arc;
 
 pub use super::constraints::Constraints;
 
-/// A moment on the caller's clock, or a span, in microseconds.
+/// A time on the caller's clock, or a duration, in microseconds.
 pub type Micros = u64;
-/// Id of a request or an endpoint; compared and hashed, never interpreted.
+/// Id of a request or an endpoint; an opaque string.
 pub type Id = Arc<str>;
 
 /// The tier of an endpoint.
@@ -20,40 +19,40 @@
     Cache,
     /// A cache between the edge caches and the origin.
     Parent,
-    /// The one origin.
+    /// The origin.
     Origin,
 }
 
-/// What a repeat of a request does.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Safe to repeat.
     Idempotent,
-    /// Repeats with the same key are discarded inside a deduplication scope, for a while.
+    /// Repeats with the same key are discarded within the deduplication scope and window.
     WithKey,
-    /// Must never run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
-/// The endpoints that discard each other's repeats of a request with a key.
+/// The endpoints that discard repeats of a request that another of them has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// How much outcomes report of hits and fills.
+/// Detail in which outcomes report hits and fills.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutcomeDetail {
-    /// Hits, kinds of fills and reasons of failures.
+    /// Hits, kinds of fills and reasons for failures.
     All,
     /// Hits and fills only.
     Hits,
-    /// Nothing.
+    /// Neither hits nor fills.
     #[default]
     Silent,
 }
@@ -61,32 +60,32 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// How long a copy is fresh; 0: no limit.
+    /// Time for which a copy is fresh; 0: unlimited.
     pub fresh_for: Micros,
-    /// How much older than fresh a copy may be when asked for.
+    /// Grace period: time past freshness for which a request may still accept a copy.
     pub grace: Micros,
-    /// Never kept: it runs at the origin.
+    /// Whether requests run at the origin and their responses are not cached.
     pub uncacheable: bool,
-    /// A response is late after this time and [`Class::latency_objective_stretch`] times its transfer time.
+    /// A response is late after this time plus [`Class::latency_objective_stretch`] times its transfer time.
     pub latency_objective: Micros,
-    /// See [`Class::latency_objective`]; below 1 it counts as 1.
+    /// Multiple of the transfer time in [`Class::latency_objective`]; a value below 1 counts as 1.
     pub latency_objective_stretch: f64,
-    /// What a repeat does.
+    /// Effect of executing a request of this class more than once.
     pub idempotency: Idempotency,
-    /// Who discards repeats of a request with a key.
+    /// The endpoints that discard repeats of a request with a key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long, from the sending of the first attempt that may have run.
+    /// Time for which repeats are discarded, counted from when the first attempt that may have run was sent.
     pub deduplication_window: Micros,
 }
 
-/// Slow start of an endpoint that started lately.
+/// Slow start of an endpoint that started recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Least share of its capacity at the start.
+    /// Share of its capacity that the endpoint has at its start, from 0 to 1.
     pub initial_share: f64,
-    /// Time until it is warm.
+    /// Time until the endpoint is warm.
     pub duration: Micros,
-    /// It fails when it is sent more than this multiple of its present capacity.
+    /// Multiple of its present capacity above which the endpoint fails.
     pub overload_multiple: f64,
 }
 
@@ -95,143 +94,143 @@
 pub struct Settings {
     /// The router's own zone.
     pub zone: usize,
-    /// How many routers there are in all; 0: unknown.
+    /// Total number of routers; 0: unknown.
     pub routers: u32,
-    /// How many of them serve each zone.
+    /// Number of routers that serve each zone.
     pub routers_by_zone: Vec<u32>,
-    /// Processes that share this router's part of what cold servers bear, one taking over from another, or
-    /// all that there may be where no number is told; 0 counts as 1.
+    /// Number of processes that share this router's slow-start budget: those of a takeover, or the maximum if
+    /// the number of routers is unknown; 0 counts as 1.
     pub processes: u32,
-    /// The classes, by number.
+    /// The request classes, by class number.
     pub classes: Vec<Class>,
-    /// Rate of one transfer at full pace; 0: unknown.
+    /// Full rate of one transfer, in KB/s; 0: unknown.
     pub transfer_rate_kb_s: f64,
-    /// Each zone's link in; 0: unknown.
+    /// Bandwidth of each zone's inbound link, in KB/s; 0: unknown.
     pub zone_link_kb_s: Vec<f64>,
-    /// Weights are sizes, in transfers at full pace.
+    /// Whether the weights of endpoints are sizes, in concurrent transfers at the full rate.
     pub weights_are_sizes: bool,
     /// Slow start of an edge cache.
     pub cache_slow_start: SlowStart,
     /// Slow start of a parent.
     pub parent_slow_start: SlowStart,
-    /// Window over which the load on a cold endpoint counts.
+    /// Window over which the load on a cold endpoint is limited.
     pub overload_window: Micros,
-    /// Time after a purge until no older copy is left anywhere.
+    /// Time after a purge until no endpoint has an older copy.
     pub purge_propagation_time: Micros,
-    /// Requests may go straight to a parent or the origin.
+    /// Whether requests may go straight to a parent or the origin.
     pub may_bypass_caches: bool,
-    /// A request may join a fill under way.
+    /// Whether a request may join a fill in progress.
     pub may_join_fills: bool,
-    /// What outcomes report.
+    /// Detail in which outcomes report hits and fills.
     pub outcome_detail: OutcomeDetail,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// An attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Rejected clients are given a Retry-After time.
+    /// Whether rejected clients are given a Retry-After time.
     pub retry_after: bool,
-    /// The longest one that they heed.
+    /// Longest Retry-After time that clients honour.
     pub max_retry_after: Micros,
-    /// The endpoint list must be subscribed to.
+    /// Whether the endpoint list must be watched.
     pub watch_required: bool,
 }
 
 impl Settings {
-    /// Whether anything is known that an endpoint's size could be guessed from: weights or links.
-    pub fn tells_sizes(&self) -> bool {
+    /// Returns whether the sizes of endpoints can be derived from weights or links.
+    pub fn has_size_information(&self) -> bool {
         self.weights_are_sizes || self.zone_link_kb_s.iter().any(|&link| link > 0.0)
     }
 }
 
-/// The state of an endpoint by the endpoint list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It runs.
+    /// The endpoint accepts requests.
     #[default]
     Healthy,
-    /// It finishes its work and gets nothing new.
+    /// The endpoint finishes its requests and gets no new ones.
     Draining,
-    /// It is no longer there.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: Id,
-    /// Its tier.
+    /// Tier of the endpoint.
     pub role: Role,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: usize,
-    /// Its cell (see [`DeduplicationScope::Cell`]).
+    /// Cell of the endpoint (see [`DeduplicationScope::Cell`]).
     pub cell: u32,
-    /// Its machine kind.
+    /// Machine kind of the endpoint.
     pub kind: u32,
-    /// Its weight, or its size (see [`Settings::weights_are_sizes`]).
+    /// Weight of the endpoint, or its size (see [`Settings::weights_are_sizes`]).
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Time of the endpoint's last start; 0: long ago.
     pub started_at: Micros,
 }
 
-/// How an attempt ended.
+/// Status with which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Served.
+    /// The attempt was served.
     Served,
-    /// An error; it may have run.
+    /// The endpoint reported an error; the request may have run.
     Error,
-    /// Not taken; nothing ran.
+    /// The endpoint rejected the attempt; the request has not run.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No response arrived before the deadline; the request may have run.
     TimedOut,
-    /// No connection; nothing ran.
+    /// No connection could be established; the request has not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// No fitting copy and no fill; nothing ran.
+    /// No acceptable copy and no fill; the request has not run.
     Miss,
 }
 
-/// What an outcome reports of the copy or the fill.
+/// Origin of the copy, or reason for a failed fill, as reported in an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
     /// Not reported.
     Unknown,
-    /// Found in the cache.
+    /// The cache had a fresh copy.
     Hit,
     /// Filled from the source's copy.
     Filled,
-    /// Filled by way of the origin.
+    /// Filled through the source from the origin.
     FilledByOrigin,
-    /// Joined a fill.
+    /// Joined a fill in progress.
     Joined,
-    /// Found, past its fresh time.
+    /// The cache had a stale copy.
     Stale,
-    /// The source refused.
+    /// The source rejected the fill.
     SourceRejected,
-    /// The source was unreachable, broke off or was too slow.
+    /// The source was unreachable, closed the connection or was too slow.
     SourceFailed,
     /// The source has no copy.
     SourceMiss,
-    /// The cache had no slot left for a fill.
+    /// The cache had no free slot for a fill.
     FillSlotsFull,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// A load report; absent values are negative.
+/// Load report of an endpoint; negative values are absent.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
-    /// Requests in flight at it.
+    /// Number of requests in flight at the endpoint.
     pub active: f64,
-    /// Share of capacity in use.
+    /// Fraction of capacity in use.
     pub utilization: f64,
     /// Recent hit ratio.
     pub hit_ratio: f64,
@@ -240,65 +239,65 @@
 /// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: Id,
-    /// The number of its class.
+    /// Number of the request's class.
     pub class: usize,
-    /// The object.
+    /// The requested object.
     pub object: u64,
-    /// Which part of it, from 0.
+    /// Index of the requested chunk of the object, from 0.
     pub chunk: u64,
     /// The object's purge group.
     pub purge_group: u64,
-    /// Time until the client gives up.
+    /// Time after which the client gives up.
     pub timeout: Micros,
-    /// Size of the object; 0: unknown.
+    /// Size of the object in KB; 0: unknown.
     pub size_kb: f64,
 }
 
-/// How an attempt ended, with what was reported along with it.
+/// Outcome of an attempt, with the facts that its response reported.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The request.
     pub request: Id,
-    /// Number of the attempt, from 0.
+    /// Index of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Status with which the attempt ended.
     pub status: AttemptStatus,
-    /// The request is over, by this outcome or before.
+    /// Whether the request has its final answer, through this outcome or before.
     pub is_final: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
     /// Time to the source's first byte or failure; 0: unknown.
     pub fill_wait: Micros,
-    /// What is reported of the copy or the fill.
+    /// Origin of the copy, or reason for a failed fill.
     pub cache_status: CacheStatus,
-    /// The endpoint's load, where attached.
+    /// The endpoint's load report, if attached.
     pub load_report: Option<LoadReport>,
 }
 
-/// What happens to a router.
+/// Input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, whole or only its changes.
+    /// The complete endpoint list, or its changes.
     Endpoints {
-        /// All endpoints are named; one that is absent is removed.
+        /// Whether all endpoints are listed; absent ones are then removed.
         complete: bool,
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// Other settings. A class keeps its number; one that stands at a number for the first time is new.
-    /// Requests that are open keep their class, and the smaller number of attempts.
+    /// New settings. A class keeps its number; a class at an unused number is new. Pending requests keep
+    /// their class, and the smaller of the old and new maximum number of attempts.
     Settings(Box<Settings>),
-    /// The subscription to the endpoint list failed or broke.
+    /// The watch of the endpoint list failed or broke.
     WatchFailed,
-    /// Constraints of the whole fleet's plans from now on; the default asks nothing.
+    /// Constraints of the fleet-wide plans, in force from now on; the default imposes none.
     Constraints(Arc<Constraints>),
     /// A client's request.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// A response is being streamed: its deadline no longer runs.
+    /// A response is being streamed: the request's deadline no longer applies.
     ResponseStarted {
         /// The request.
         request: Id,
@@ -308,43 +307,43 @@
         /// The request.
         request: Id,
     },
-    /// Copies made before `age` ago are void.
+    /// Copies that are older than `age` are void.
     Purged {
-        /// The object; `None`: every object of the group.
+        /// The purged object; `None`: every object of the group.
         object: Option<u64>,
         /// The purge group.
         purge_group: u64,
         /// Time since the purge.
         age: Micros,
     },
-    /// Purges may be missing: until further notice no copy older than this is accepted. `None`: all are
-    /// known.
+    /// Purges may be unknown: until the next such event no copy older than this is accepted. `None`: all
+    /// purges are known.
     BoundedStaleness(Option<Micros>),
     /// A timer is due.
     Timer {
-        /// From [`Action::Timer`].
+        /// Token from [`Action::Timer`].
         token: u64,
     },
 }
 
-/// Where a miss is filled from and what copies will do.
+/// Fetch options of an attempt: the source of a fill and the copies that are acceptable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fetch {
-    /// The source; the target itself: nothing is filled.
+    /// The endpoint that a miss is filled from; if it is the target itself, misses are not filled.
     pub source: Id,
-    /// Oldest copy accepted; 0: the fresh time, or any age where there is none.
+    /// Maximum age of an accepted copy; 0: the fresh time, or any age if the class has no fresh time.
     pub max_age: Micros,
-    /// Priority of the copy in the cache, 1 to 3; 0: not kept.
+    /// Priority of the copy in the cache, from 1 to 3; 0: not kept.
     pub cache_priority: u8,
-    /// Join a fill under way.
+    /// Whether to join a fill in progress.
     pub join_fill: bool,
-    /// The source gives only what it has cached and asks nobody else.
+    /// Whether the source returns only cached copies and fills no misses.
     pub cached_only: bool,
-    /// Stale-while-revalidate: serve an ageing copy and refresh it in the background.
+    /// Stale-while-revalidate: serve a stale copy and refresh it in the background.
     pub revalidate: bool,
 }
 
-/// What the router asks its caller to do.
+/// Output of a router, for its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -353,37 +352,37 @@
         request: Id,
         /// The target.
         server: Id,
-        /// When to abandon it; 0: when the client gives up.
+        /// Time at which the attempt is abandoned; 0: when the client gives up.
         until: Micros,
         /// `None`: a plain request to the origin.
         fetch: Option<Fetch>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: Id,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; a repeat by the client does no harm.
+    /// Final answer: rejected; the client may safely repeat the request.
     Reject {
         /// The request.
         request: Id,
-        /// Time after which to come back; 0: no advice.
+        /// Retry-After time; 0: none.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have run.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: Id,
     },
-    /// Ask for [`Event::Timer`].
+    /// Set a timer for an [`Event::Timer`].
     Timer {
-        /// When.
+        /// Time at which the timer is due.
         at: Micros,
-        /// Handed back with the event.
+        /// Token that the event returns.
         token: u64,
     },
-    /// Subscribe to the endpoint list.
+    /// Start a watch of the endpoint list.
     Watch,
 }
--- a/src/routing/freshness.rs
+++ b/src/routing/freshness.rs
@@ -1,21 +1,21 @@
-//! How old a copy a request accepts.
+//! Maximum age of the copies that a request accepts.
 //!
-//! By the paper's rule (see `mod.rs`) the accepted age grows with the requests in flight: the fresh time, and
-//! a part of the grace for each request beyond what chance makes of their average. A purge caps it.
+//! By the rule of the paper cited in `mod.rs`, the accepted age grows with the requests in flight: it is the
+//! fresh time plus a part of the grace period for each request above the usual number. A purge caps it.
 
 use super::events::{Micros, Request};
 use super::Router;
 
-/// Tenths of the grace for each request in flight beyond the usual number; gamma1 of the paper.
+/// Tenths of the grace period added for each request in flight above the usual number; gamma1 of the paper.
 const GRACE_TENTHS_PER_EXCESS_REQUEST: f64 = 2.0;
-/// Tenths in a whole grace.
+/// Number of tenths in the full grace period.
 const TENTHS_PER_GRACE: f64 = 10.0;
-/// Span of the average of requests in flight: far longer than a burst.
+/// Time constant of the average of requests in flight, in microseconds: far longer than a burst.
 const AVERAGE_SPAN_US: f64 = 30e6;
-/// Span over which failed attempts count as if still in flight: about as long as a client waits.
+/// Time constant over which failed attempts count as if in flight, in microseconds: about a client's timeout.
 const RECENT_FAILURE_SPAN_US: f64 = 2e6;
 
-/// The requests that one router has in flight at caches.
+/// Number of requests that the router has in flight at caches, current and average.
 #[derive(Default)]
 pub(super) struct RequestLoad {
     in_flight: u32,
@@ -24,8 +24,8 @@
 }
 
 impl RequestLoad {
-    /// Passes time. Within the first span the average is a plain mean, so that the first requests are no
-    /// burst.
+    /// Updates the averages for elapsed time. Until the router is as old as the time constant, the average is
+    /// a plain mean, so that the first requests do not count as a burst.
     pub(super) fn advance(&mut self, elapsed: Micros, router_age: Micros) {
         let elapsed = elapsed as f64;
         let span = AVERAGE_SPAN_US.min(router_age as f64).max(1.0);
@@ -41,7 +41,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Failed attempts leave nothing in flight, and still show that requests pile up.
+    /// Records a failed attempt: it is no longer in flight, but still indicates overload.
     pub(super) fn record_failure(&mut self) {
         self.recent_failures += 1.0;
     }
@@ -50,8 +50,8 @@
         self.recent_failures = (self.recent_failures - f64::from(count)).max(0.0);
     }
 
-    /// Requests beyond the usual number. Arrivals are random: their number is off by the root of its average
-    /// on the calmest day.
+    /// Returns the number of requests above the usual one, which is the average plus its square root: the
+    /// standard deviation of random arrivals.
     fn excess(&self) -> f64 {
         let usual = self.average + self.average.sqrt();
         (f64::from(self.in_flight) + self.recent_failures - usual).max(0.0)
@@ -59,7 +59,8 @@
 }
 
 impl Router {
-    /// The oldest copy that a request accepts; 0 means the fresh time, or any age where there is none.
+    /// Returns the maximum age of a copy that a request accepts; 0: the fresh time, or any age if the class
+    /// has no fresh time.
     pub(super) fn accepted_age(&self, request: &Request) -> Micros {
         let Some(class) = self.settings.classes.get(request.class) else { return 0 };
         let age = if class.fresh_for == 0 {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The latest purge of a request's object or its purge group.
+    /// Returns the time of the latest purge of a request's object or purge group.
     pub(super) fn purged_at(&self, request: &Request) -> Option<Micros> {
         self.purges.at(request.object, request.purge_group)
     }
--- a/src/routing/latency.rs
+++ b/src/routing/latency.rs
@@ -1,37 +1,37 @@
-//! Late answers of endpoints, and how long transfers of each class take.
+//! Rates of late responses per endpoint, and learned transfer times per class.
 
-use super::concurrency::BURST_ROOTS;
+use super::concurrency::BURST_DEVIATIONS;
 use super::endpoint_table::EndpointIndex;
 use super::events::{CacheStatus, Class, Micros, OutcomeDetail, Role};
 use super::request::Attempt;
 use super::Router;
 
-/// Step of the rate of late answers for one answer.
+/// Weight of one response in the moving average of late responses.
 const LATE_RATE_STEP: f64 = 0.15;
-/// Largest step, for an origin that many routers share.
+/// Maximum weight of one response, for an origin that many routers share.
 const MAX_LATE_RATE_STEP: f64 = 0.5;
-/// Rate of late answers up to which no limit is cut: where sizes are not told, large answers look late.
+/// Rate of late responses up to which no limit is cut: where sizes are unknown, large responses look late.
 pub(super) const TOLERATED_LATE_RATE: f64 = 0.15;
-/// A late answer is the cache's own only when the cache is late this many times as often as the source.
+/// A late response is attributed to the cache only if its late rate exceeds the source's by this factor.
 const CACHE_LATE_RATIO: f64 = 1.5;
-/// Least difference of late rates that counts.
+/// Minimum difference between two late rates that is significant.
 const LATE_RATE_MARGIN: f64 = 0.02;
-/// Transfer time of a class until one is learned.
+/// Transfer time assumed for a class until one is learned, in microseconds.
 const DEFAULT_TRANSFER_TIME_US: f64 = 200_000.0;
-/// Observations that a learned mean goes by: a plain mean of the first, then of about so many.
+/// Number of observations in a learned mean: a plain mean up to this number, a moving average beyond it.
 const LEARNED_OBSERVATIONS: f64 = 20.0;
 
-/// Whether an answer came in time.
+/// Whether a response came in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timeliness {
     InTime,
     Late,
 }
 
-/// Late answers of one endpoint.
+/// Rate of late responses of one endpoint.
 #[derive(Default)]
 pub(super) struct LatencyTracker {
-    /// Part of the answers of late that were late.
+    /// Fraction of recent responses that were late.
     pub(super) late_rate: f64,
     pub(super) last_response_at: Micros,
 }
@@ -46,11 +46,11 @@
     }
 }
 
-/// A mean learned from observations. It begins as a plain mean: sizes are skewed, and one that began with the
-/// first and followed slowly would be far too small as a rule.
+/// A mean learned from observations. It starts as a plain mean: sizes are skewed, and a moving average that
+/// starts from the first observation would usually be far too small.
 #[derive(Clone, Copy, Default)]
 struct LearnedMean {
-    /// 0: nothing is learned.
+    /// The mean in microseconds; 0: not learned yet.
     value: f64,
     observations: f64,
 }
@@ -73,7 +73,7 @@
         TransferTimes { means_us: vec![LearnedMean::default(); classes] }
     }
 
-    /// Forgets the means of classes that changed.
+    /// Resets the means of classes that have changed.
     pub(super) fn apply_classes(&mut self, previous: &[Class], current: &[Class]) {
         self.means_us.resize(current.len(), LearnedMean::default());
         for ((mean, previous), current) in self.means_us.iter_mut().zip(previous).zip(current) {
@@ -96,7 +96,7 @@
 }
 
 impl Router {
-    /// Time after which an answer counts as late.
+    /// Returns the time after which a response counts as late, in microseconds.
     pub(super) fn late_after(&self, class: usize, transfer_time_us: f64) -> Micros {
         let (objective, stretch) = match self.settings.classes.get(class) {
             Some(class) => (class.latency_objective, class.latency_objective_stretch),
@@ -105,8 +105,8 @@
         objective.saturating_add((stretch.max(1.0) * transfer_time_us) as Micros)
     }
 
-    /// Takes the time of an answer: it is the origin's where the answer came by way of it; else the cache's
-    /// on a hit; else that of whichever of cache and source is late more often.
+    /// Records whether a response was in time. It is attributed to the origin if the origin took part in the
+    /// fill, to the cache on a hit, and otherwise to the cache or the source, whichever is late more often.
     pub(super) fn record_timing(&mut self, attempt: &Attempt, status: CacheStatus, timeliness: Timeliness) {
         if self.record_origin_timing(attempt, status, timeliness) {
             return;
@@ -116,7 +116,7 @@
         let is_fill = matches!(status, CacheStatus::Filled | CacheStatus::Joined);
         let source = attempt.source_beside_target().filter(|_| !is_hit);
         let is_unknown = self.settings.outcome_detail == OutcomeDetail::Silent;
-        // Requests straight to the origin show its queue best, and one of many routers sees few of them.
+        // Direct requests to the origin show its queue best, and each of many routers sees only a few.
         let is_direct = self.endpoints[target].endpoint.role == Role::Origin;
         if is_hit || is_unknown || is_direct {
             self.record_timeliness(target, timeliness);
@@ -127,35 +127,37 @@
         self.adjust_limits(target, source, timeliness);
     }
 
-    /// Takes the time of an answer that came by way of the origin. True if it was late and the origin is the
-    /// cause: not so where the source is late with its own copies.
+    /// Records whether a response that the origin took part in was in time. Returns true if the response was
+    /// late because of the origin, and false if the source is late with its own copies, too.
     pub(super) fn record_origin_timing(
         &mut self,
         attempt: &Attempt,
         status: CacheStatus,
         timeliness: Timeliness,
     ) -> bool {
-        let Some(origin) = self.endpoints.origin().filter(|_| self.came_by_origin(attempt, status)) else {
+        let Some(origin) = self.endpoints.origin().filter(|_| self.was_filled_by_origin(attempt, status))
+        else {
             return false;
         };
         self.record_timeliness(origin, timeliness);
         let is_late = timeliness == Timeliness::Late;
-        if is_late && !self.is_late_by_origin(attempt, origin) {
+        if is_late && !self.origin_causes_delay(attempt, origin) {
             return false;
         }
         if is_late {
             self.cut_limit(origin);
         } else if attempt.origin.is_some() {
-            // One of many routers sees few answers of the origin behind the parents: each weighs more.
-            let answer_weight = self.answer_weight(origin);
-            self.raise_limit(origin, answer_weight);
+            // Each of many routers sees few responses of the origin behind the parents, so each response has
+            // more weight.
+            let response_weight = self.response_weight(origin);
+            self.raise_limit(origin, response_weight);
         } else if attempt.source == Some(origin) {
             self.raise_limit(origin, 1.0);
         }
         is_late
     }
 
-    /// Lets the limits of target and source follow an answer.
+    /// Adjusts the limits of target and source after a response.
     pub(super) fn adjust_limits(
         &mut self,
         target: EndpointIndex,
@@ -170,17 +172,17 @@
         }
         let source_late_rate = self.endpoints[source].latency.late_rate;
         let own_threshold = CACHE_LATE_RATIO * source_late_rate + LATE_RATE_MARGIN;
-        let is_late_by_source = self.endpoints[target].latency.late_rate <= own_threshold;
-        self.adjust_limit(if is_late_by_source { source } else { target }, timeliness);
+        let source_causes_delay = self.endpoints[target].latency.late_rate <= own_threshold;
+        self.adjust_limit(if source_causes_delay { source } else { target }, timeliness);
     }
 
-    pub(super) fn is_later(&self, index: EndpointIndex, than: EndpointIndex) -> bool {
+    pub(super) fn has_higher_late_rate(&self, index: EndpointIndex, than: EndpointIndex) -> bool {
         self.endpoints[index].latency.late_rate > self.endpoints[than].latency.late_rate
     }
 
     pub(super) fn record_timeliness(&mut self, index: EndpointIndex, timeliness: Timeliness) {
         let step = match self.endpoints[index].endpoint.role {
-            Role::Origin => (LATE_RATE_STEP * self.answer_weight(index)).min(MAX_LATE_RATE_STEP),
+            Role::Origin => (LATE_RATE_STEP * self.response_weight(index)).min(MAX_LATE_RATE_STEP),
             Role::Cache | Role::Parent => LATE_RATE_STEP,
         };
         for peer in self.limit_group(index) {
@@ -188,8 +190,9 @@
         }
     }
 
-    /// Where outcomes do not tell that a fill came by way of the origin, it did if it was expected to.
-    fn came_by_origin(&self, attempt: &Attempt, status: CacheStatus) -> bool {
+    /// Returns whether the origin took part in a fill. Where outcomes do not report this, the expectation
+    /// when the attempt was sent decides.
+    fn was_filled_by_origin(&self, attempt: &Attempt, status: CacheStatus) -> bool {
         match status {
             CacheStatus::FilledByOrigin => true,
             CacheStatus::Filled => {
@@ -199,15 +202,19 @@
         }
     }
 
-    fn is_late_by_origin(&self, attempt: &Attempt, origin: EndpointIndex) -> bool {
-        let nearer = attempt.source.unwrap_or(attempt.target);
-        let threshold =
-            if nearer == origin { 0.0 } else { CACHE_LATE_RATIO * self.endpoints[nearer].latency.late_rate };
+    fn origin_causes_delay(&self, attempt: &Attempt, origin: EndpointIndex) -> bool {
+        let nearer_endpoint = attempt.source.unwrap_or(attempt.target);
+        let threshold = if nearer_endpoint == origin {
+            0.0
+        } else {
+            CACHE_LATE_RATIO * self.endpoints[nearer_endpoint].latency.late_rate
+        };
         self.endpoints[origin].latency.late_rate > TOLERATED_LATE_RATE.max(threshold)
     }
 
-    /// How many times one answer counts at an endpoint that so many routers share that each sees few.
-    fn answer_weight(&self, index: EndpointIndex) -> f64 {
-        (self.sharers(&self.endpoints[index].endpoint).sqrt() / BURST_ROOTS).max(1.0)
+    /// Returns the weight of one response of an endpoint, which grows with the number of routers that share
+    /// it: each of them sees fewer responses.
+    fn response_weight(&self, index: EndpointIndex) -> f64 {
+        (self.sharing_routers(&self.endpoints[index].endpoint).sqrt() / BURST_DEVIATIONS).max(1.0)
     }
 }
--- a/src/routing/lookup_counter.rs
+++ b/src/routing/lookup_counter.rs
@@ -1,6 +1,6 @@
-//! The place where tests count reads of endpoint records. In the program it is empty and costs nothing.
+//! Counter of endpoint record reads for tests. Outside tests it is empty and has no cost.
 
-/// Counts nothing. Tests use the type of the same name in `tests/lookup_counter.rs` instead.
+/// Counter that does nothing; tests use the type of the same name in `tests/lookup_counter.rs` instead.
 #[derive(Default)]
 pub(super) struct LookupCounter;
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,11 +1,11 @@
-//! The decisions of one request router: where each request goes, whether it is tried again, what is rejected.
+//! Routing decisions: the endpoint for each request, whether a failed attempt is retried, what is rejected.
 //!
-//! Events, actions and settings are in `events.rs`. [`Router`] is a state machine without input or output: it
-//! is handed the time and one [`Event`] after another, and appends the [`Action`]s to carry out. Equal
-//! settings, seeds and events give equal actions. This file owns the state and dispatches the events; each
-//! rule stands in the module named after it.
+//! Events, actions and settings are in `events.rs`. [`Router`] is a state machine that does no I/O: its
+//! caller passes the current time with each [`Event`], and the router appends the [`Action`]s to carry out.
+//! It is deterministic in its settings, its seed and its events. This file owns the state and dispatches the
+//! events; each rule is in the module named after it.
 //!
-//! The rule for accepting old copies follows Onderwater, Bhulai and van der Mei, "On the Control of a
+//! The rule for accepting stale copies follows Onderwater, Bhulai and van der Mei, "On the Control of a
 //! Queueing System with Aging State Information" (2015), eq. 24 with alpha 0; see `freshness.rs`.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
@@ -44,7 +44,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The decisions of one router.
+/// State machine that makes the routing decisions of one instance.
 #[derive(Default)]
 pub struct Router {
     settings: Settings,
@@ -59,15 +59,15 @@
     retry_budget: RetryBudget,
     transfer_times: TransferTimes,
     purges: Recent,
-    /// The endpoint list is subscribed to, as far as this router knows.
+    /// Whether the router has requested a watch of the endpoint list that has not failed since.
     watching: bool,
     constraints: ConstraintTracker,
-    /// The least link per cache that any zone has shown so far.
+    /// Smallest link bandwidth per cache seen in any zone since the last change of settings, in KB/s.
     smallest_cache_link_kb_s: Option<f64>,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings; equal seeds and events give equal actions.
+    /// Creates a router without endpoints; equal settings, seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Router {
             transfer_times: TransferTimes::new(settings.classes.len()),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes one event at time `now` and appends what is to be done.
+    /// Handles one event at time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.advance_clock(now);
         self.request_watch(actions);
@@ -96,7 +96,8 @@
         }
     }
 
-    /// How many listed endpoints are avoided now, because they fail more than their peers.
+    /// Returns the number of eligible endpoints that get no requests now because outlier detection has
+    /// ejected them.
     pub fn avoided(&self) -> usize {
         let eligible = self.endpoints.eligible();
         eligible.into_iter().filter(|&index| !self.is_available(index)).count()
@@ -135,7 +136,7 @@
         self.refresh_eligible_endpoints();
     }
 
-    /// Lists the endpoints that requests may go to, and sets what each of them may be sent.
+    /// Recomputes the endpoints that requests may be sent to, and their concurrency limits.
     fn refresh_eligible_endpoints(&mut self) {
         let (zone, constraints) = (self.settings.zone, &self.constraints);
         self.endpoints.refresh_eligible(|endpoint| {
@@ -148,7 +149,8 @@
     }
 
     fn record_purge(&mut self, object: Option<u64>, purge_group: u64, age: Micros) {
-        // Twice the propagation time: a fill from an old copy may end after the last drop of one.
+        // Twice the propagation time: a fill from an old copy may end after the last cache has dropped its
+        // copy.
         let retention = self.settings.purge_propagation_time.saturating_mul(2);
         let purged_at = self.now.saturating_sub(age);
         self.purges.told(object, purge_group, purged_at, self.now.saturating_add(retention));
--- a/src/routing/outcomes.rs
+++ b/src/routing/outcomes.rs
@@ -1,4 +1,5 @@
-//! The outcome of an attempt: what it shows of the endpoints that took part, and what becomes of its request.
+//! Handling of an attempt's outcome: the records of the endpoints that took part, and retry or final answer
+//! of the request.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::{Action, AttemptStatus, CacheStatus, Id, Idempotency, Outcome, OutcomeDetail, Role};
@@ -8,7 +9,7 @@
 use super::retry::RetryCost;
 use super::Router;
 
-/// Errors in a row after which the request itself is taken to be what no endpoint can serve.
+/// Number of consecutive errors after which the request itself is taken to be the cause.
 const MAX_CONSECUTIVE_ERRORS: u32 = 3;
 
 impl Router {
@@ -23,13 +24,13 @@
             _ => 0,
         };
         self.learn_transfer_time(&pending, &outcome);
-        let is_over = outcome.is_final || outcome.status == AttemptStatus::Served;
-        if !is_over && pending.client == ClientState::Connected {
+        let is_finished = outcome.is_final || outcome.status == AttemptStatus::Served;
+        if !is_finished && pending.client == ClientState::Connected {
             self.retry_or_finish(pending, &attempt, &outcome, actions);
         }
     }
 
-    /// Takes that an attempt's answer is late and not there yet.
+    /// Handles an attempt whose response is overdue.
     pub(super) fn handle_overdue_attempt(&mut self, token: u64) {
         let Some((request, number)) = self.attempt_timers.take(token) else { return };
         let in_flight = self.pending.get(&request).and_then(|pending| pending.attempt);
@@ -37,8 +38,8 @@
         if self.is_response_missing(&attempt) {
             self.release_capacity_early(&request, &attempt);
         }
-        // Counted only against an endpoint that has answered nothing since. Caches ejected for slow fills
-        // would leave the others with more misses, and slower fills.
+        // A failure is recorded only for an endpoint that has sent no response since. Ejecting caches for
+        // slow fills would leave the other caches with more misses and even slower fills.
         for index in [Some(attempt.target), attempt.source].into_iter().flatten() {
             if self.endpoints[index].latency.last_response_at < attempt.sent_at {
                 self.record_failure(index, FAILURE_RATE_STEP);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// The request and its attempt that an outcome belongs to. The request is pending no more.
+    /// Removes the request that an outcome belongs to from the pending ones and returns it with its attempt.
     fn take_attempt(&mut self, outcome: &Outcome) -> Option<(PendingRequest, Attempt)> {
         let mut pending = self.pending.remove(&outcome.request)?;
         if let Some(attempt) = pending.attempt.filter(|attempt| attempt.number == outcome.attempt) {
@@ -80,19 +81,20 @@
         }
     }
 
-    /// Takes back what was booked for a fill that was not needed.
+    /// Refunds the recorded work of a fill that was not needed because the attempt was a cache hit.
     fn release_unused_fill(&mut self, pending: &PendingRequest, attempt: &Attempt, outcome: &Outcome) {
         let is_hit = matches!(outcome.cache_status, CacheStatus::Hit | CacheStatus::Stale);
         let Some(source) = attempt.source.filter(|_| is_hit) else { return };
-        let is_by_cache = self.is_cache(attempt.target);
-        self.constraints.take_back_sent(&self.endpoints[source].endpoint.id, attempt.sent_at);
-        // Without a cache the request went straight to a parent: that is its class's work all the same.
-        if is_by_cache {
-            self.constraints.take_back_fill(pending.request.class, attempt.sent_at);
+        let is_via_cache = self.is_cache(attempt.target);
+        self.constraints.refund_sent(&self.endpoints[source].endpoint.id, attempt.sent_at);
+        // A request that went straight to a parent still counts towards the fill rate of its class.
+        if is_via_cache {
+            self.constraints.refund_fill(pending.request.class, attempt.sent_at);
         }
     }
 
-    /// Transfer times are learned from hits: fills on crowded links would make late answers look normal.
+    /// Learns transfer times from hits only: fills over congested links would make late responses look
+    /// normal.
     fn learn_transfer_time(&mut self, pending: &PendingRequest, outcome: &Outcome) {
         let is_hit =
             self.settings.outcome_detail == OutcomeDetail::Silent || outcome.cache_status == CacheStatus::Hit;
@@ -101,7 +103,7 @@
         }
     }
 
-    // What an outcome shows of the endpoints.
+    // Records of the endpoints.
 
     fn record_outcome(&mut self, attempt: &Attempt, outcome: &Outcome) {
         match outcome.status {
@@ -116,7 +118,7 @@
         }
         match outcome.status {
             AttemptStatus::ConnectFailed => self.record_failure(attempt.target, CERTAIN_FAILURE_STEP),
-            // Connections break now and then, everywhere: no certain failure.
+            // Connections break occasionally at any endpoint, so a reset is not a certain failure.
             AttemptStatus::Reset => self.record_failure(attempt.target, FAILURE_RATE_STEP),
             _ => self.record_failed_fill(attempt, outcome),
         }
@@ -125,7 +127,8 @@
     fn record_response(&mut self, attempt: &Attempt, outcome: &Outcome) {
         self.endpoints[attempt.target].latency.last_response_at = self.now;
         self.record_success(attempt.target, FAILURE_RATE_STEP);
-        // Waiting and sending are judged each by itself: a far origin makes fills late on the calmest day.
+        // The wait for the fill and the transfer are compared with the objective separately: with a distant
+        // origin their sum is late even without load.
         let sending_time = outcome.elapsed.saturating_sub(outcome.fill_wait);
         let is_late = sending_time.max(outcome.fill_wait) > attempt.late_after;
         let timeliness = if is_late { Timeliness::Late } else { Timeliness::InTime };
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Takes a failure by what its outcome tells of the fill.
+    /// Records a failure according to the fill status that the outcome reports.
     fn record_failed_fill(&mut self, attempt: &Attempt, outcome: &Outcome) {
         match (outcome.cache_status, attempt.source_beside_target()) {
             (CacheStatus::SourceRejected | CacheStatus::SourceFailed, Some(source)) => {
@@ -149,7 +152,7 @@
                 self.cut_limit(source);
             }
             (CacheStatus::FillSlotsFull, _) => self.cut_limit(attempt.target),
-            // A rejection behind the parents asks for less; unheeded, the origin fails.
+            // A rejection by the origin behind a parent must lower the limit, or the origin fails.
             (CacheStatus::OriginFailed, _) => self.record_late_origin(attempt),
             (CacheStatus::SourceMiss, _) => {}
             _ if self.endpoints[attempt.target].endpoint.role == Role::Origin => {
@@ -167,33 +170,34 @@
         self.cut_limit(origin);
     }
 
-    /// Takes a failure of a cache or parent whose outcome tells nothing of a fill.
+    /// Records a failure of a cache or parent whose outcome reports no fill status.
     fn record_failed_target(&mut self, attempt: &Attempt, outcome: &Outcome) {
-        let tells_all = self.settings.outcome_detail == OutcomeDetail::All;
+        let reports_all = self.settings.outcome_detail == OutcomeDetail::All;
         match outcome.status {
-            AttemptStatus::Rejected if tells_all => self.cut_limit(attempt.target),
+            AttemptStatus::Rejected if reports_all => self.cut_limit(attempt.target),
             AttemptStatus::Rejected => self.record_full_target(attempt, outcome.cache_status),
             AttemptStatus::TimedOut if attempt.origin.is_some() => self.record_late_origin(attempt),
-            // A lost answer shows crowding only where others are late: limits that followed each one would
-            // empty a zone that has all its capacity.
+            // A missing response indicates overload only where other responses are late: limits cut for each
+            // one would idle a zone that has its full capacity.
             AttemptStatus::TimedOut => {
                 self.adjust_limits(attempt.target, attempt.source_beside_target(), Timeliness::Late);
             }
-            _ if tells_all => self.record_failure(attempt.target, FAILURE_RATE_STEP),
+            _ if reports_all => self.record_failure(attempt.target, FAILURE_RATE_STEP),
             _ => self.attribute_failure(attempt, FAILURE_RATE_STEP),
         }
     }
 
-    /// Where outcomes tell little, a parent that is full or has failed looks like a full cache.
+    /// Records a rejection by a target. Where outcomes report no reasons, a parent that is full or has failed
+    /// is not distinguishable from a full cache.
     fn record_full_target(&mut self, attempt: &Attempt, status: CacheStatus) {
         self.record_timing(attempt, status, Timeliness::Late);
         if let Some(source) = attempt.source_beside_target() {
-            let source_part = if self.is_later(source, attempt.target) {
+            let source_share = if self.has_higher_late_rate(source, attempt.target) {
                 1.0
             } else {
-                self.source_part_of_failure(attempt.target, source)
+                self.source_share_of_failure(attempt.target, source)
             };
-            self.record_failure(source, FAILURE_RATE_STEP * source_part);
+            self.record_failure(source, FAILURE_RATE_STEP * source_share);
         }
     }
 
@@ -201,7 +205,7 @@
         self.record_origin_timing(attempt, CacheStatus::FilledByOrigin, Timeliness::Late);
     }
 
-    // What becomes of the request.
+    // Retry or final answer of the request.
 
     fn retry_or_finish(
         &mut self,
@@ -219,7 +223,8 @@
         }
         let retry_cost = self.record_failed_attempt(&mut pending, attempt, outcome);
         if pending.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
-            // Its errors are no sign of requests piling up, and must not take the retries of others.
+            // Errors caused by the request itself do not indicate overload, and must not use up the retries
+            // of other requests.
             self.load.forget_failures(pending.consecutive_errors);
             return self.finish_without_response(pending, actions);
         }
@@ -232,13 +237,13 @@
         self.send_or_finish(pending, actions);
     }
 
-    /// Whether a request that may have run may run again.
+    /// Returns whether a request that may have run may run again.
     fn is_repeatable(&self, class: usize) -> bool {
         let class = self.settings.classes.get(class);
         class.is_some_and(|class| class.idempotency != Idempotency::NotIdempotent)
     }
 
-    /// Notes with the request what the next attempt has to avoid.
+    /// Records in the request what the next attempt must avoid, and returns the cost of the retry.
     fn record_failed_attempt(
         &mut self,
         pending: &mut PendingRequest,
@@ -250,8 +255,8 @@
         let missed_at_source = is_miss && attempt.cached_only;
         if missed_at_cache {
             pending.copy_at_cache = CachedCopy::Absent;
-            // A request that finds no capacity for its fill leaves nothing in flight: it counts as a failure
-            // does.
+            // A request without capacity for its fill is not in flight anywhere, so it is counted like a
+            // failure.
             self.load.record_failure();
         }
         if missed_at_source {
@@ -269,7 +274,7 @@
         RetryCost::OneToken
     }
 
-    /// Whether the next attempt avoids the source rather than the target.
+    /// Returns whether the next attempt must avoid the source rather than the target.
     fn is_source_at_fault(&self, target: EndpointIndex, source: EndpointIndex, outcome: &Outcome) -> bool {
         match outcome.cache_status {
             CacheStatus::SourceRejected | CacheStatus::SourceFailed | CacheStatus::OriginFailed => {
@@ -279,15 +284,17 @@
             CacheStatus::Unknown if self.settings.outcome_detail != OutcomeDetail::All => {}
             _ => return false,
         }
-        let is_late_source = outcome.status == AttemptStatus::Rejected && self.is_later(source, target);
+        let is_late_source =
+            outcome.status == AttemptStatus::Rejected && self.has_higher_late_rate(source, target);
         let (target, source) = (&self.endpoints[target].outliers, &self.endpoints[source].outliers);
         is_late_source || source.failure_rate() > target.failure_rate()
     }
 
-    // Attempts whose answer is late.
+    // Attempts whose response is overdue.
 
-    /// Whether an overdue answer is taken to be lost: others came since, and no participant is late in
-    /// general. It would occupy capacity until the client gives up.
+    /// Returns whether an overdue response is considered lost: the target has sent other responses since, and
+    /// neither a participant nor the origin is generally late. It would otherwise occupy capacity until the
+    /// client's deadline.
     fn is_response_missing(&self, attempt: &Attempt) -> bool {
         let mut involved = attempt.participants().chain(self.endpoints.origin());
         let all_in_time =
@@ -305,7 +312,7 @@
     }
 }
 
-/// Whether an attempt that ended this way may have run.
+/// Returns whether an attempt that ended with this status may have run.
 fn may_have_run(status: AttemptStatus) -> bool {
     matches!(
         status,
--- a/src/routing/outlier_detection.rs
+++ b/src/routing/outlier_detection.rs
@@ -1,37 +1,38 @@
-//! Outlier detection: failure rates of endpoints, ejection of those that fail more than their peers,
-//! readmission.
+//! Outlier detection: tracks the failure rates of endpoints, ejects those that fail more than their peers,
+//! and readmits them.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::Micros;
 use super::request::Attempt;
 use super::Router;
 
-/// Step of the failure rate for one success or ordinary failure: some five agree before an ejection.
+/// Weight of one success or ordinary failure in the failure rate: about five failures lead to an ejection.
 pub(super) const FAILURE_RATE_STEP: f64 = 0.15;
-/// Step for a failure that leaves no doubt, such as no connection: one of them ejects.
+/// Weight of a certain failure, such as a failed connection: a single one ejects the endpoint.
 pub(super) const CERTAIN_FAILURE_STEP: f64 = 0.5;
-/// Step for a success of an ejected endpoint: three in a row readmit it.
+/// Weight of a success of an ejected endpoint: three in a row readmit it.
 const TRIAL_SUCCESS_STEP: f64 = 0.3;
-/// Failure rate above which an endpoint is ejected: beyond it a retry no longer repairs what is lost.
+/// Failure rate above which an endpoint is ejected: above it retries no longer compensate for the failures.
 const EJECTION_FAILURE_RATE: f64 = 0.45;
-/// An endpoint is ejected only when it fails this many times as often as its peers.
+/// An endpoint is ejected only if its failure rate exceeds the mean rate of its peers by this factor.
 const EJECTION_PEER_RATIO: f64 = 2.0;
-/// Failure rate below which an ejected endpoint is used when all others are full.
+/// Failure rate below which an ejected endpoint is used if all other endpoints are full.
 const DEGRADED_FAILURE_RATE: f64 = 0.7;
 /// Failure rate below which an ejected endpoint is readmitted.
 const READMISSION_FAILURE_RATE: f64 = 0.2;
-/// Length of a first ejection; each further one in a row is twice as long.
+/// Duration of a first ejection, in microseconds; each further one in a row is twice as long.
 const FIRST_EJECTION_US: Micros = 1_000_000;
+/// Maximum number of times that the duration of an ejection is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Least failure rate in attribution: two endpoints without failures share one evenly.
+/// Minimum failure rate in attribution: a failure between two endpoints without failures is split evenly.
 const MIN_ATTRIBUTED_RATE: f64 = 0.02;
 
-/// Failures of one endpoint, and whether it is ejected for them.
+/// Failure rate of one endpoint, and its ejection.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
     failure_rate: f64,
     is_ejected: bool,
-    /// From then on an ejected endpoint gets one trial attempt at a time.
+    /// Time from which an ejected endpoint gets one trial attempt at a time.
     ejected_until: Micros,
     ejections_in_a_row: u32,
     trial_in_flight: bool,
@@ -43,12 +44,12 @@
         self.failure_rate
     }
 
-    /// Whether it may be sent requests: it is not ejected, or due for a trial.
+    /// Returns whether the endpoint may be sent requests: it is not ejected, or it is due for a trial.
     pub(super) fn is_available(&self, now: Micros) -> bool {
         !self.is_ejected || (now >= self.ejected_until && !self.trial_in_flight)
     }
 
-    /// Whether it still answers some requests, ejected or not.
+    /// Returns whether the endpoint still answers some requests, ejected or not.
     pub(super) fn answers_some_requests(&self) -> bool {
         self.failure_rate < DEGRADED_FAILURE_RATE
     }
@@ -61,8 +62,8 @@
         self.trial_in_flight = false;
     }
 
-    /// Takes a reset; false if another one came at the same moment. A connection that breaks resets all
-    /// attempts on it, and is one failure.
+    /// Records a connection reset and returns false if another one had the same time. A broken connection
+    /// resets all of its attempts, but is one failure.
     pub(super) fn is_new_reset(&mut self, now: Micros) -> bool {
         self.last_reset_at.replace(now) != Some(now)
     }
@@ -109,18 +110,18 @@
         self.endpoints[index].outliers.record_failure(self.now, step, peer_failure_rate);
     }
 
-    /// Takes a failure that may be the target's or the source's: shared by what each has failed of late.
+    /// Records a failure of either the target or the source: it is split by the failure rates of both.
     pub(super) fn attribute_failure(&mut self, attempt: &Attempt, step: f64) {
         let Some(source) = attempt.source_beside_target() else {
             return self.record_failure(attempt.target, step);
         };
-        let source_part = self.source_part_of_failure(attempt.target, source);
-        self.record_failure(attempt.target, step * (1.0 - source_part));
-        self.record_failure(source, step * source_part);
+        let source_share = self.source_share_of_failure(attempt.target, source);
+        self.record_failure(attempt.target, step * (1.0 - source_share));
+        self.record_failure(source, step * source_share);
     }
 
-    /// The part of a failure, 0 to 1, that is attributed to the source.
-    pub(super) fn source_part_of_failure(&self, target: EndpointIndex, source: EndpointIndex) -> f64 {
+    /// Returns the share of a failure, from 0 to 1, that is attributed to the source.
+    pub(super) fn source_share_of_failure(&self, target: EndpointIndex, source: EndpointIndex) -> f64 {
         let cache = &self.endpoints[target];
         let source_rate = self.endpoints[source].outliers.failure_rate + MIN_ATTRIBUTED_RATE;
         let by_source = source_rate * (1.0 - cache.hit_ratio);
--- a/src/routing/random.rs
+++ b/src/routing/random.rs
@@ -1,8 +1,8 @@
-//! Pseudorandom numbers that are a function of the router's seed.
+//! Pseudorandom numbers derived from the router's seed.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Random numbers of one router.
+/// Pseudorandom numbers of one router.
 #[derive(Default)]
 pub(super) struct RandomSequence {
     seed: u64,
@@ -14,19 +14,19 @@
         RandomSequence { seed, draws: 0 }
     }
 
-    /// The next number of the sequence, from 0 to 1.
+    /// Returns the next number of the sequence, from 0 to 1.
     pub(super) fn next_fraction(&mut self) -> f64 {
         self.draws += 1;
         self.fraction_for(self.draws)
     }
 
-    /// The number that belongs to a key at this router, from 0 to 1.
+    /// Returns the number for a key at this router, from 0 to 1.
     pub(super) fn fraction_for(&self, key: u64) -> f64 {
         hash_fraction(key, self.seed)
     }
 }
 
-/// A hash as a number from 0 to 1.
+/// Returns the hash of a key as a number from 0 to 1.
 pub(super) fn hash_fraction(key: u64, seed: u64) -> f64 {
     xxh3_64_with_seed(&key.to_le_bytes(), seed) as f64 / u64::MAX as f64
 }
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -1,4 +1,4 @@
-//! A client's request that has no final answer yet, and its attempts.
+//! Client requests without a final answer, and their attempts.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::{Micros, Request};
@@ -6,45 +6,46 @@
 /// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// From 0.
+    /// Index of the attempt within its request, from 0.
     pub(super) number: u32,
-    /// The endpoint that it is sent to.
+    /// The endpoint that the attempt is sent to.
     pub(super) target: EndpointIndex,
     /// The endpoint that a miss is filled from.
     pub(super) source: Option<EndpointIndex>,
-    /// The origin, where the source is expected to ask it in turn.
+    /// The origin, if the source is expected to fill its own miss from it.
     pub(super) origin: Option<EndpointIndex>,
     pub(super) sent_at: Micros,
-    /// Time after which the answer counts as late.
+    /// Time after which the response counts as late, in microseconds.
     pub(super) late_after: Micros,
-    /// The source gives only what it has cached.
+    /// Whether the source is asked only for a cached copy.
     pub(super) cached_only: bool,
-    /// It no longer counts as in flight, though its outcome is not known.
+    /// Whether the attempt has stopped counting as in flight before its outcome is known.
     pub(super) capacity_released: bool,
 }
 
 impl Attempt {
-    /// The endpoints that the attempt occupies: its target, the source and the origin behind that, each once.
+    /// Returns the endpoints that the attempt occupies, each once: the target, the source, and the origin
+    /// behind the source.
     pub(super) fn participants(&self) -> impl Iterator<Item = EndpointIndex> {
         let source = self.source_beside_target();
         let origin = self.origin.filter(|&origin| Some(origin) != source);
         [Some(self.target), source, origin].into_iter().flatten()
     }
 
-    /// The source, unless it is the target itself.
+    /// Returns the source, unless it is the target itself.
     pub(super) fn source_beside_target(&self) -> Option<EndpointIndex> {
         self.source.filter(|&source| source != self.target)
     }
 }
 
-/// The first attempt that may have run, which is where repeats are discarded.
+/// The first attempt that may have run; its endpoint determines which others deduplicate repeats.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) sent_at: Micros,
     pub(super) endpoint: EndpointIndex,
 }
 
-/// Whether the client still waits.
+/// Whether the client still waits for a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ClientState {
     #[default]
@@ -60,46 +61,46 @@
     Started,
 }
 
-/// What is known from asking for a cached copy only.
+/// Result of a lookup for a cached copy without a fill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum CachedCopy {
-    /// Nobody was asked.
+    /// No lookup was made.
     #[default]
     Unknown,
-    /// There was none.
+    /// The lookup was a miss.
     Absent,
 }
 
-/// A request without a final answer.
+/// A client's request without a final answer.
 #[derive(Default)]
 pub(super) struct PendingRequest {
     pub(super) request: Request,
-    /// When the client gives up.
+    /// Time at which the client's timeout ends.
     pub(super) deadline: Micros,
-    /// Time that its transfer takes at full pace, told or expected.
+    /// Known or expected transfer time at the full transfer rate, in microseconds.
     pub(super) transfer_time_us: f64,
     pub(super) attempts_sent: u32,
-    /// Most attempts by the settings at its arrival.
+    /// Maximum number of attempts in the settings when the request arrived.
     pub(super) max_attempts: u32,
     pub(super) attempt: Option<Attempt>,
-    /// Targets of attempts that failed.
+    /// Targets that attempts failed at.
     pub(super) failed_targets: Vec<EndpointIndex>,
-    /// Sources that attempts failed by.
+    /// Sources that made attempts fail.
     pub(super) failed_sources: Vec<EndpointIndex>,
     pub(super) first_execution: Option<FirstExecution>,
-    /// Errors since the last attempt that ended otherwise.
+    /// Number of consecutive attempts that ended with an error.
     pub(super) consecutive_errors: u32,
     pub(super) client: ClientState,
     pub(super) response: ResponseState,
-    /// At the cache that was asked without a source.
+    /// Result of a lookup at the cache without a source.
     pub(super) copy_at_cache: CachedCopy,
-    /// At the source that was asked for cached copies only.
+    /// Result of a lookup at the source for cached copies only.
     pub(super) copy_at_source: CachedCopy,
 }
 
 impl PendingRequest {
-    /// The endpoints whose places in the table must not be reused while the request is pending. Those of the
-    /// attempt that is out are among them: its capacity may have been released before its end.
+    /// Returns the endpoints whose slots in the table must not be reused while the request is pending. The
+    /// participants of the attempt in flight are included, because its capacity may have been released early.
     pub(super) fn referenced_endpoints(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         let executed_at = self.first_execution.map(|execution| execution.endpoint);
         let occupied = self.attempt.iter().flat_map(Attempt::participants);
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,19 +1,19 @@
-//! Whether a request is tried again, and the final answer when it is not.
+//! Retries, and the final answer to requests that are not retried.
 
 use super::endpoint_table::EndpointIndex;
 use super::events::{Action, AttemptStatus, Class, DeduplicationScope, Idempotency, Micros};
 use super::request::PendingRequest;
 use super::Router;
 
-/// Retry tokens that one request earns: in lasting trouble a fifth more attempts at most.
+/// Retry tokens added per request: during a lasting failure retries add at most a fifth to the attempts.
 const TOKENS_PER_REQUEST: f64 = 0.2;
-/// Most retry tokens saved: one short failure of all that a router has in flight.
+/// Maximum number of saved retry tokens: enough for one brief failure of all attempts in flight.
 const MAX_TOKENS: f64 = 20.0;
-/// Least Retry-After advice, and most of the random time added to it.
+/// Minimum Retry-After time, and maximum of the random time added to it, in microseconds.
 const RETRY_AFTER_US: Micros = 300_000;
 
-/// Bounds retries to a part of the requests: when much fails at once, they would multiply the load on the
-/// rest.
+/// Token bucket that limits retries to a fraction of the requests: after a large failure, unlimited retries
+/// would multiply the load on the remaining endpoints.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -38,16 +38,16 @@
     }
 }
 
-/// Whether a retry takes a token of the retry budget.
+/// Cost of a retry in tokens of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// The attempt only looked for a cached copy.
+    /// No token: the attempt only looked up a cached copy.
     Free,
     OneToken,
 }
 
 impl Router {
-    /// Whether one more attempt is allowed after one that ended.
+    /// Returns whether another attempt is allowed after one that ended with `status`.
     pub(super) fn may_retry(
         &self,
         pending: &PendingRequest,
@@ -62,7 +62,8 @@
         in_time && attempts_left && affordable
     }
 
-    /// Whether an endpoint discards repeats of what may have run already; true where nothing may have.
+    /// Returns whether an endpoint deduplicates a request that may have run already; true if it cannot have
+    /// run.
     pub(super) fn discards_repeats(&self, pending: &PendingRequest, index: EndpointIndex) -> bool {
         let Some(first) = pending.first_execution else { return true };
         let Some(class) = self.settings.classes.get(pending.request.class) else { return false };
@@ -81,7 +82,7 @@
         self.settings.classes.get(class).is_some_and(|class| class.idempotency == Idempotency::Idempotent)
     }
 
-    /// Gives the final answer to a request that no further attempt can help: at once, never held back.
+    /// Gives the final answer to a request that is not attempted again.
     pub(super) fn finish_without_response(&mut self, pending: PendingRequest, actions: &mut Vec<Action>) {
         let retry_after = self.draw_retry_after();
         let is_safe_to_repeat = self.is_safe_to_repeat(&pending, retry_after);
@@ -93,7 +94,7 @@
         });
     }
 
-    /// Retry-After advice; 0 where clients do not hear it.
+    /// Returns a random Retry-After time; 0 if the settings give clients none.
     fn draw_retry_after(&mut self) -> Micros {
         let (least, spread) = self.constraints.retry_after().unwrap_or((RETRY_AFTER_US, RETRY_AFTER_US));
         let wait = least + (spread as f64 * self.random.next_fraction()) as Micros;
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Whether a client that comes again after `retry_after` does no harm.
+    /// Returns whether the client may safely repeat the request after `retry_after`.
     fn is_safe_to_repeat(&self, pending: &PendingRequest, retry_after: Micros) -> bool {
         let Some(first) = pending.first_execution else { return true };
-        // A repeat after the window would run a second time.
+        // A repeat after the deduplication window would run a second time.
         let is_deduplicated = |class: &Class| {
             class.deduplication_scope == DeduplicationScope::All
                 && self.now + retry_after < first.sent_at.saturating_add(class.deduplication_window)
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -1,8 +1,8 @@
-//! Which cache, parent or origin serves a request.
+//! Selection of the cache, parent or origin for a request.
 //!
-//! Weighted rendezvous hashing orders the endpoints for each object, the same at every router. A cache with
-//! more work than its peers, or with late answers, serves fewer of its objects (bounded load); the next in
-//! order take the rest.
+//! Weighted rendezvous hashing orders the endpoints for each object; the order is the same at every router. A
+//! cache that has more load than its peers, or that answers late, serves a smaller share of its objects
+//! (bounded load); the next caches in the order serve the others.
 
 use super::endpoint::Upstream;
 use super::endpoint_table::EndpointIndex;
@@ -11,30 +11,34 @@
 use super::Router;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What an answer in time restores of the share of its objects that an endpoint serves.
+/// Increase of an endpoint's share of its objects after a response in time.
 const SHARE_STEP: f64 = 0.01;
-/// Factor of that share after a late answer.
+/// Factor applied to an endpoint's share of its objects after a late response.
 const SHARE_CUT_FACTOR: f64 = 0.85;
-/// Least share: without requests nothing would show that the endpoint has recovered.
+/// Minimum share of its objects that an endpoint serves: without any requests its recovery would not be
+/// noticed.
 const MIN_SHARE: f64 = 0.05;
-/// Part of its best peer's share below which a parent serves fewer objects: fills of all zones meet there.
+/// A parent serves fewer of its objects only when its share is below this fraction of its best peer's:
+/// parents serve the fills of all zones.
 const PARENT_SHARE_THRESHOLD: f64 = 0.5;
-/// A cache serves all its objects up to this many times its fair share of the work.
+/// A cache serves all its objects while its load is at most this multiple of its fair share.
 const LOAD_BOUND: f64 = 1.25;
-/// Span over which the work of a cache's own objects fades.
+/// Time constant of the exponential decay of a cache's load, in microseconds.
 const LOAD_SPAN_US: f64 = 15e6;
-/// Work with which a cache's record starts: a few requests by chance move nothing.
+/// Load added to each cache's own before loads are compared, so that a few requests by chance have no
+/// effect.
 const INITIAL_LOAD_US: f64 = 2e6;
-/// Multiplier that spreads the chunks of an object.
+/// Multiplier that gives each chunk of an object its own hash key.
 const CHUNK_HASH_MULTIPLIER: u64 = 31;
-/// Bits of a double's mantissa, sign of 1 included.
+/// Bits of precision of an `f64`, the implicit leading bit included.
 const MANTISSA_BITS: u32 = 53;
 
-/// The share of its own objects that an endpoint serves, and the work that they make.
+/// Share of its own objects that an endpoint serves, and the load that these objects cause.
 #[derive(Default)]
 pub(super) struct ObjectShare {
     /// From 0 to 1.
     share: f64,
+    /// Load as of `load_updated_at`, in microseconds of transfer time.
     load_us: f64,
     load_updated_at: Micros,
 }
@@ -44,12 +48,12 @@
         ObjectShare { share: 1.0, ..ObjectShare::default() }
     }
 
-    /// Takes an answer in time.
+    /// Increases the share after a response in time.
     pub(super) fn restore(&mut self) {
         self.share = (self.share + SHARE_STEP).min(1.0);
     }
 
-    /// Takes a late answer.
+    /// Reduces the share after a late response.
     pub(super) fn cut(&mut self) {
         self.share = (self.share * SHARE_CUT_FACTOR).max(MIN_SHARE);
     }
@@ -65,38 +69,38 @@
     }
 }
 
-/// Load and weight of all caches of an order: summed once for each choice.
+/// Sums of load and weight over all caches in a rendezvous order, computed once per selection.
 struct TotalLoad {
     load_us: f64,
     weight: f64,
 }
 
-/// An endpoint with its score for one object.
+/// An endpoint with its rendezvous score for one object.
 struct Scored {
     score: f64,
     key: u64,
     index: EndpointIndex,
 }
 
-/// A cache to warm, and the endpoint that it is filled from.
+/// A cache that a request is sent to in order to warm it, and the endpoint that the cache is filled from.
 pub(super) struct WarmingRoute {
     pub(super) target: EndpointIndex,
     pub(super) source: EndpointIndex,
 }
 
 impl Router {
-    /// Books the work of a request with the cache that comes first for its object.
+    /// Adds the load of a request to the first cache in its object's rendezvous order.
     pub(super) fn record_object_load(&mut self, object: u64, work_us: f64) {
         if let Some(&first) = self.rendezvous_order(Role::Cache, object).first() {
             self.endpoints[first].objects.add_load(self.now, work_us);
         }
     }
 
-    /// The cache for a request's next attempt.
+    /// Returns the cache for a request's next attempt.
     pub(super) fn pick_cache(&self, pending: &PendingRequest) -> Option<EndpointIndex> {
         let order = self.cache_order(pending.request.object);
         let is_allowed = |index| self.discards_repeats(pending, index) && self.admits_attempt(index, pending);
-        // Past its capacity a cache answers everything too late: what it has no room for goes to the next.
+        // A cache above its capacity answers every request late: further requests go to the next cache.
         let is_usable = |index| is_allowed(index) && self.is_available(index) && self.has_capacity(index);
         let is_untried = |index: EndpointIndex| !pending.failed_targets.contains(&index);
         let is_last_resort = |index| {
@@ -106,36 +110,36 @@
                 && self.has_capacity(index)
         };
         let first = |fits: &dyn Fn(EndpointIndex) -> bool| order.iter().copied().find(|&index| fits(index));
-        // Chunks of one popular object move apart: it would fill its cache by itself.
+        // Chunks of one object are spread over the caches: a popular object would overload a single cache.
         let request = &pending.request;
         let chunk_key = request.object.wrapping_mul(CHUNK_HASH_MULTIPLIER).wrapping_add(request.chunk);
         self.pick_by_affinity(&order, chunk_key, |index| is_untried(index) && is_usable(index))
             .or_else(|| first(&is_usable))
-            // Where a fault has most caches ejected and the others are full, one that answers some requests
+            // When most caches are ejected and the others are full, a cache that answers only some requests
             // is better than a rejection.
             .or_else(|| first(&is_last_resort))
-            // With all caches ejected none would ever be asked again.
+            // If all caches are ejected, a request still goes to one of them.
             .or_else(|| first(&is_allowed).filter(|_| !order.iter().any(|&index| self.is_available(index))))
     }
 
-    /// The shard's next cache and its source, where the request's turn to warm it has come.
+    /// Returns the next cache of the object's shard and its source, if the warming rate admits this request.
     pub(super) fn pick_warming_route(&self, pending: &PendingRequest) -> Option<WarmingRoute> {
         let object = pending.request.object;
-        let turn = self.constraints.warming_turn(self.now, object, pending.transfer_time_us)?;
+        let warming = self.constraints.warming_endpoints(self.now, object, pending.transfer_time_us)?;
         let is_usable_cache = |&index: &EndpointIndex| {
             self.endpoints.of_role(Role::Cache).contains(&index)
                 && self.is_available(index)
                 && self.admits_attempt(index, pending)
         };
-        let target = self.endpoints.find(turn.target).filter(|index| {
+        let target = self.endpoints.find(warming.target).filter(|index| {
             pending.attempts_sent == 0 && is_usable_cache(index) && self.has_capacity(*index)
         })?;
-        let present_cache = turn.source.and_then(|id| self.endpoints.find(id)).filter(is_usable_cache);
+        let present_cache = warming.source.and_then(|id| self.endpoints.find(id)).filter(is_usable_cache);
         let source = present_cache.or_else(|| self.pick_source(pending))?;
         Some(WarmingRoute { target, source })
     }
 
-    /// The parent, or else the origin, that a miss is filled from.
+    /// Returns the parent that a miss is filled from, or else the origin.
     pub(super) fn pick_source(&self, pending: &PendingRequest) -> Option<EndpointIndex> {
         let object = pending.request.object;
         let parents = self.rendezvous_order(Role::Parent, object);
@@ -144,13 +148,14 @@
                 && self.is_available(index)
                 && self.admits_attempt(index, pending)
         };
-        // The object stays with the first parent that works, full or not: what it has no room for would crowd
-        // the next.
+        // The object stays with its first working parent even when that is full: its excess load would
+        // overload the next parent.
         let parent = self.pick_by_affinity(&parents, object, is_working);
         parent.filter(|&index| self.has_capacity(index)).or_else(|| self.pick_origin(pending))
     }
 
-    /// The origin. Overloaded, it fails: only requests that must run there come without regard to its limit.
+    /// Returns the origin if it may be sent the request. It fails when overloaded, so only uncacheable
+    /// requests, which must run there, are exempt from its concurrency limit.
     pub(super) fn pick_origin(&self, pending: &PendingRequest) -> Option<EndpointIndex> {
         let class = self.settings.classes.get(pending.request.class);
         let must_run_there = class.is_some_and(|class| class.uncacheable);
@@ -165,7 +170,7 @@
         })
     }
 
-    /// The caches in rendezvous order, but the one that the object is assigned to comes first.
+    /// Returns the caches in rendezvous order, preceded by the cache that the object's shard is assigned to.
     fn cache_order(&self, object: u64) -> Vec<EndpointIndex> {
         let mut order = self.rendezvous_order(Role::Cache, object);
         let assigned = self.constraints.assigned_endpoint(object).and_then(|id| self.endpoints.find(id));
@@ -173,7 +178,7 @@
         order
     }
 
-    /// The endpoints of a role in the order of an object: weighted rendezvous hashing.
+    /// Returns the endpoints of a role in the weighted rendezvous order of an object.
     fn rendezvous_order(&self, role: Role, object: u64) -> Vec<EndpointIndex> {
         let score = |&index: &EndpointIndex| {
             let upstream = &self.endpoints[index];
@@ -190,8 +195,8 @@
         self.advertised_size(&upstream.endpoint).unwrap_or(1.0)
     }
 
-    /// The first fitting endpoint in the order whose share of objects includes a key, else the nearest to
-    /// that. The shares include the same keys at every router.
+    /// Returns the first eligible endpoint in the order whose share of objects includes `key`, or else the
+    /// one whose share comes closest to that. A share includes the same keys at every router.
     fn pick_by_affinity(
         &self,
         order: &[EndpointIndex],
@@ -207,7 +212,7 @@
             Some(Role::Parent) => best_share * PARENT_SHARE_THRESHOLD,
             _ => best_share,
         };
-        // At least 1: the key is in the endpoint's share.
+        // An affinity of at least 1 means that the key is in the endpoint's share.
         let affinity = |&(index, share): &(EndpointIndex, f64)| {
             let hash = xxh3_64_with_seed(&key.to_le_bytes(), !self.endpoints[index].key);
             share / full_share * u64::MAX as f64 / (hash as f64 + 1.0)
@@ -228,7 +233,8 @@
         }
     }
 
-    /// The share of its objects that an endpoint serves, by its late answers and its load.
+    /// Returns the share of its objects that an endpoint serves, which depends on its late responses and, for
+    /// a cache, on its load.
     fn object_share(&self, index: EndpointIndex, total: &TotalLoad) -> f64 {
         let upstream = &self.endpoints[index];
         if upstream.endpoint.role != Role::Cache {
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -1,5 +1,5 @@
-//! How the work of one event grows with the endpoint list: reads of endpoint records are counted, no clock is
-//! read.
+//! Growth of the work per event with the length of the endpoint list, measured in reads of endpoint records,
+//! and reuse of the slots of removed endpoints.
 
 use super::events::{
     Action, AttemptStatus, CacheStatus, Class, DeduplicationScope, Endpoint, EndpointState, Event,
@@ -9,11 +9,10 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// The larger list is this many times the smaller.
-const TIMES: usize = 8;
-/// What is constant in an event, or grows by the logarithm, may add this much to the work at the smaller
-/// size.
-const SLACK: u64 = 64;
+/// Ratio of the lengths of the larger and the smaller list.
+const LENGTH_RATIO: usize = 8;
+/// Lookups added to the bound for the work per event that is constant or grows with the logarithm.
+const CONSTANT_LOOKUPS: u64 = 64;
 
 fn settings(weights_are_sizes: bool) -> Settings {
     let start = SlowStart { initial_share: 0.2, duration: 18 * S, overload_multiple: 2.0 };
@@ -51,8 +50,8 @@
     }
 }
 
-/// Every tenth is a parent, the last is the origin.
-fn member(n: usize, all: usize) -> Endpoint {
+/// Returns the endpoint at an index: every tenth one is a parent, and the last one is the origin.
+fn endpoint_at(n: usize, all: usize) -> Endpoint {
     let role = match n {
         _ if n + 1 == all => Role::Origin,
         _ if n % 10 == 9 => Role::Parent,
@@ -76,23 +75,23 @@
     Request { id, class: 0, object: number, chunk: 0, purge_group: 1, timeout: 3 * S, size_kb: 100.0 }
 }
 
-/// The most lookups that one event of each kind takes: a request with its answer, and a change of one record.
-fn work(servers: usize, weights_are_sizes: bool) -> (u64, u64) {
+/// Returns the maximum number of lookups for a request with its outcome, and for an update of one endpoint.
+fn max_lookups(endpoint_count: usize, weights_are_sizes: bool) -> (u64, u64) {
     let mut router = Router::new(settings(weights_are_sizes), 7);
     let mut actions = Vec::new();
-    let members = (0..servers).map(|n| member(n, servers)).collect();
+    let endpoints = (0..endpoint_count).map(|n| endpoint_at(n, endpoint_count)).collect();
     let mut now = 100 * S;
-    router.handle(now, Event::Endpoints { complete: true, endpoints: members }, &mut actions);
+    router.handle(now, Event::Endpoints { complete: true, endpoints }, &mut actions);
     let (mut by_request, mut by_change) = (0, 0);
     for number in 0..20 {
         now += 10 * MS;
         actions.clear();
         router.endpoints.lookups.take();
         router.handle(now, Event::Request(request(number)), &mut actions);
-        router.handle(now, Event::Outcome(ended(number, AttemptStatus::Served)), &mut actions);
+        router.handle(now, Event::Outcome(final_outcome(number, AttemptStatus::Served)), &mut actions);
         by_request = by_request.max(router.endpoints.lookups.take());
         router.endpoints.lookups.take();
-        let mut changed = member(number as usize, servers);
+        let mut changed = endpoint_at(number as usize, endpoint_count);
         changed.state = if number % 2 == 0 { EndpointState::Draining } else { EndpointState::Healthy };
         router.handle(now, Event::Endpoints { complete: false, endpoints: vec![changed] }, &mut actions);
         by_change = by_change.max(router.endpoints.lookups.take());
@@ -100,66 +99,70 @@
     (by_request, by_change)
 }
 
-/// A router of a fleet with eight times the endpoints has the same traffic: no walk over the list inside
-/// another.
+/// Guards against a scan of the endpoint list nested in another one.
 #[test]
-fn the_work_of_a_request_and_of_a_change_does_not_grow_with_the_square_of_the_list() {
+fn lookups_per_request_and_per_update_grow_at_most_linearly_with_the_endpoint_list() {
     for weights_are_sizes in [true, false] {
-        let (few, many) = (work(100, weights_are_sizes), work(100 * TIMES, weights_are_sizes));
-        for (what, few, many) in [("request", few.0, many.0), ("change", few.1, many.1)] {
-            let most = (few + SLACK) * TIMES as u64;
+        let (few, many) =
+            (max_lookups(100, weights_are_sizes), max_lookups(100 * LENGTH_RATIO, weights_are_sizes));
+        for (event, few, many) in [("request", few.0, many.0), ("update", few.1, many.1)] {
+            let limit = (few + CONSTANT_LOOKUPS) * LENGTH_RATIO as u64;
             assert!(
-                few > 0 && many <= most,
-                "{what}: {few} lookups at 100 servers, {many} at {TIMES} times as many"
+                few > 0 && many <= limit,
+                "{event}: {few} lookups with 100 endpoints, {many} with {LENGTH_RATIO} times as many"
             );
         }
     }
 }
 
-/// Guards an endpoint that is new against the end of an attempt at another one: the place of that one, which
-/// was removed while the attempt was out and counted as lost, must not be given away.
+/// Guards against an outcome that is recorded at the wrong endpoint: an attempt whose capacity was released
+/// early still refers to its endpoint's slot, so a new endpoint must not reuse the slot before the outcome.
 #[test]
-fn the_place_of_a_removed_endpoint_stays_its_own_while_an_attempt_is_out_there() {
+fn slot_of_a_removed_endpoint_is_not_reused_while_an_attempt_refers_to_it() {
     let mut router = Router::new(settings(false), 7);
     let mut actions = Vec::new();
     let mut now = 100 * S;
-    let (cache, origin) = (member(0, 2), member(1, 2));
+    let (cache, origin) = (endpoint_at(0, 2), endpoint_at(1, 2));
     router.handle(
         now,
         Event::Endpoints { complete: true, endpoints: vec![cache.clone(), origin] },
         &mut actions,
     );
     router.handle(now, Event::Request(request(1)), &mut actions);
-    let overdue = actions.iter().find_map(|action| match action {
+    let overdue_timer = actions.iter().find_map(|action| match action {
         Action::Timer { at, token } => Some((*at, *token)),
         _ => None,
     });
-    let (overdue_at, overdue_token) = overdue.expect("the answer's time is watched");
-    // Another request at the same endpoint is answered, so the first answer counts as lost once it is late.
+    let (overdue_at, overdue_token) = overdue_timer.expect("a timer is set for the attempt");
+    // Another request at the same endpoint is answered, so the first response counts as lost once it is late.
     now += 10 * MS;
     router.handle(now, Event::Request(request(2)), &mut actions);
     now += 10 * MS;
-    router.handle(now, Event::Outcome(ended(2, AttemptStatus::Served)), &mut actions);
+    router.handle(now, Event::Outcome(final_outcome(2, AttemptStatus::Served)), &mut actions);
     now = now.max(overdue_at);
     router.handle(now, Event::Timer { token: overdue_token }, &mut actions);
-    let place = router.endpoints.find(&cache.id).expect("it is listed");
-    assert!(router.endpoints[place].concurrency.in_flight.is_empty(), "its capacity is released");
+    let slot = router.endpoints.find(&cache.id).expect("the cache is listed");
+    assert!(router.endpoints[slot].concurrency.in_flight.is_empty(), "its capacity is released");
     let removed = Endpoint { state: EndpointState::Removed, ..cache };
     router.handle(now, Event::Endpoints { complete: false, endpoints: vec![removed] }, &mut actions);
-    let new = Endpoint { id: "s-0000beef".into(), ..member(0, 2) };
-    let new_id = new.id.clone();
-    router.handle(now, Event::Endpoints { complete: false, endpoints: vec![new] }, &mut actions);
-    assert_ne!(router.endpoints.find(&new_id), Some(place), "given to another endpoint");
-    router.handle(now + MS, Event::Outcome(ended(1, AttemptStatus::TimedOut)), &mut actions);
-    // Once the attempt has ended the place is free.
-    let next = Endpoint { id: "s-0000cafe".into(), ..member(0, 2) };
-    let next_id = next.id.clone();
-    router.handle(now + MS, Event::Endpoints { complete: false, endpoints: vec![next] }, &mut actions);
-    assert_eq!(router.endpoints.find(&next_id), Some(place));
+    let new_endpoint = Endpoint { id: "s-0000beef".into(), ..endpoint_at(0, 2) };
+    let new_id = new_endpoint.id.clone();
+    router.handle(now, Event::Endpoints { complete: false, endpoints: vec![new_endpoint] }, &mut actions);
+    assert_ne!(router.endpoints.find(&new_id), Some(slot), "the slot was reused");
+    router.handle(now + MS, Event::Outcome(final_outcome(1, AttemptStatus::TimedOut)), &mut actions);
+    // After the attempt has ended the slot is free.
+    let next_endpoint = Endpoint { id: "s-0000cafe".into(), ..endpoint_at(0, 2) };
+    let next_id = next_endpoint.id.clone();
+    router.handle(
+        now + MS,
+        Event::Endpoints { complete: false, endpoints: vec![next_endpoint] },
+        &mut actions,
+    );
+    assert_eq!(router.endpoints.find(&next_id), Some(slot));
 }
 
-/// The only attempt of a request has ended, and with it the request.
-fn ended(number: u64, status: AttemptStatus) -> Outcome {
+/// Returns the final outcome of a request's only attempt.
+fn final_outcome(number: u64, status: AttemptStatus) -> Outcome {
     Outcome {
         request: request(number).id,
         attempt: 0,
--- a/src/routing/tests/lookup_counter.rs
+++ b/src/routing/tests/lookup_counter.rs
@@ -1,4 +1,4 @@
-//! Counts reads of endpoint records.
+//! Counter of endpoint record reads.
 
 use std::cell::Cell;
 
@@ -10,7 +10,7 @@
         self.0.set(self.0.get() + lookups as u64);
     }
 
-    /// The count since it was last taken.
+    /// Returns the count and resets it to 0.
     pub(super) fn take(&self) -> u64 {
         self.0.take()
     }
