--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -98,7 +98,7 @@
 
     /// Returns the number of eligible endpoints that get no requests now because outlier detection has
     /// ejected them.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_endpoints(&self) -> usize {
         let eligible = self.endpoints.eligible();
         eligible.into_iter().filter(|&index| !self.is_available(index)).count()
     }
--- a/tests/new_settings.rs
+++ b/tests/new_settings.rs
@@ -52,16 +52,16 @@
 fn what_was_learned_of_servers_stays() {
     let mut r = router();
     let dead = sent_attempt(&send_request(&mut r, T0 + S, "a", VIDEO, 5)).target;
-    assert_eq!(r.avoided(), 0);
+    assert_eq!(r.unavailable_endpoints(), 0);
     for n in 0..3 {
         let id = format!("f{n}");
         if sent_attempt(&send_request(&mut r, T0 + S, &id, VIDEO, 5)).target == dead {
             end_attempt(&mut r, T0 + S, &id, 0, AttemptStatus::ConnectFailed);
         }
     }
-    assert_eq!(r.avoided(), 1);
+    assert_eq!(r.unavailable_endpoints(), 1);
     retune(&mut r, |s| s.max_attempts = 2);
-    assert_eq!(r.avoided(), 1);
+    assert_eq!(r.unavailable_endpoints(), 1);
     assert_ne!(sent_attempt(&send_request(&mut r, T0 + S, "b", VIDEO, 5)).target, dead);
 }
 
--- a/tests/router_decisions.rs
+++ b/tests/router_decisions.rs
@@ -202,7 +202,7 @@
     }
 
     fn look(&mut self) {
-        let avoided = self.router.avoided();
+        let avoided = self.router.unavailable_endpoints();
         self.hash.write_avoided(avoided);
         self.reached.avoided += u64::from(avoided > 0);
         self.reached.readmitted += u64::from(avoided < self.avoided);
