--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -144,7 +144,7 @@
     /// For the routing constraints; `rate` gives how much of warming this instance may send an endpoint, in transfers at
     /// full rate (its part of [`warm_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
-        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
+        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), peer_fill: lateral };
         let assignment = |shard: &Shard| ShardAssignment {
             start: shard.start,
             endpoint: shard.home.clone(),
--- a/src/routing/constraints.rs
+++ b/src/routing/constraints.rs
@@ -37,7 +37,7 @@
     pub rate: f64,
     /// Whether a cache may fill its misses from another cache. If not, or without a present cache, it fills
     /// them from a parent.
-    pub lateral: bool,
+    pub peer_fill: bool,
 }
 
 /// One shard: the positions of objects from `start` up to the start of the next shard.
@@ -214,7 +214,7 @@
         if !account.has_capacity(now, self.budget(warming.rate), work_us, self.applied_at) {
             return None;
         }
-        let source = shard.endpoint.as_ref().filter(|_| warming.lateral);
+        let source = shard.endpoint.as_ref().filter(|_| warming.peer_fill);
         Some(WarmingEndpoints { target: &warming.endpoint, source })
     }
 
--- a/src/routing/constraints/tests.rs
+++ b/src/routing/constraints/tests.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn warming_requests_use_the_warming_rate_and_do_not_exceed_it() {
-    let warming = Some(Warming { endpoint: "b".into(), rate: 0.5, lateral: true });
+    let warming = Some(Warming { endpoint: "b".into(), rate: 0.5, peer_fill: true });
     let shards = [ShardAssignment { start: 0, endpoint: Some("a".into()), warming }].into();
     let mut tracker = tracker(Constraints { shards, ..Constraints::default() });
     let (object, mut sent) = (7, 0);
--- a/tests/core_decisions/placement.rs
+++ b/tests/core_decisions/placement.rs
@@ -393,7 +393,7 @@
             self.digest.option(home.warming.as_ref(), |digest, warming| {
                 digest.text(&warming.endpoint);
                 digest.float(warming.rate);
-                digest.flag(warming.lateral);
+                digest.flag(warming.peer_fill);
             });
         }
     }
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn warming_goes_to_the_next_home_filled_by_the_present_one_and_takes_its_part_only() {
-    let warming = Some(Warming { endpoint: "cache-3-0".into(), rate: 1.0, lateral: true });
+    let warming = Some(Warming { endpoint: "cache-3-0".into(), rate: 1.0, peer_fill: true });
     let homes: Arc<[ShardAssignment]> =
         [ShardAssignment { start: 0, endpoint: Some("cache-3-1".into()), warming }].into();
     let mut router = guided(Constraints { shards: homes, ..Constraints::default() });
--- a/tests/router_decisions.rs
+++ b/tests/router_decisions.rs
@@ -511,7 +511,8 @@
         let mut cache = || caches.get(dice.roll(caches.len().max(1) as u64) as usize).map(|m| m.id.clone());
         let (home, next) = (cache(), cache());
         let (rate, lateral) = (dice.pick(&[0.05, 0.5, 2.0]), dice.percent(60));
-        let warming = next.filter(|_| dice.percent(50)).map(|to| Warming { endpoint: to, rate, lateral });
+        let warming =
+            next.filter(|_| dice.percent(50)).map(|to| Warming { endpoint: to, rate, peer_fill: lateral });
         homes.push(ShardAssignment {
             start: shard << 61,
             endpoint: home.filter(|_| dice.percent(80)),
@@ -746,7 +747,7 @@
 /// A quarter of the objects, at home at one cache and warmed at the next.
 fn shard_of(n: u64) -> ShardAssignment {
     let cache = |n: u64| Id::from(format!("cache-3-{}", n % 4).as_str());
-    let warming = Some(Warming { endpoint: cache(n + 1), rate: 0.3, lateral: n.is_multiple_of(2) });
+    let warming = Some(Warming { endpoint: cache(n + 1), rate: 0.3, peer_fill: n.is_multiple_of(2) });
     ShardAssignment { start: n << 62, endpoint: Some(cache(n)), warming }
 }
 
