--- a/crates/fleet-simulation/src/slopes/copies.rs
+++ b/crates/fleet-simulation/src/slopes/copies.rs
@@ -14,7 +14,7 @@
 
 fn kept(many: usize) -> LocalCache {
     let mut copies = LocalCache::default();
-    copies.limit(Limits { max_bytes: 256 << 20, transfer_bytes_per_s: 1e9, link_bytes_per_s: 1e9 });
+    copies.set_limits(Limits { max_bytes: 256 << 20, transfer_bytes_per_s: 1e9, link_bytes_per_s: 1e9 });
     for n in 0..many as u64 {
         let key = Key { class: 0, object: n, part: 0 };
         (0..3).for_each(|_| copies.count_demand(S, key));
--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -134,7 +134,7 @@
 
 impl LocalCache {
     /// Takes other limits; what has no room any more is dropped.
-    pub fn limit(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         self.shrink(if limits.is_enabled() { limits.max_bytes } else { 0 });
     }
--- a/src/local_cache/tests.rs
+++ b/src/local_cache/tests.rs
@@ -11,7 +11,7 @@
 
 fn copies() -> LocalCache {
     let mut copies = LocalCache::default();
-    copies.limit(LIMITS);
+    copies.set_limits(LIMITS);
     copies
 }
 
@@ -43,7 +43,7 @@
         let mut c = copies();
         kept(&mut c, T0, 1, copy(T0, 100));
         assert_eq!(c.len(), 1);
-        c.limit(limits);
+        c.set_limits(limits);
         assert_eq!((c.len(), c.bytes()), (0, 0), "what was held goes");
         kept(&mut c, T0, 1, copy(T0, 100));
         assert_eq!((c.len(), c.bytes(), c.serve(T0, wish(1))), (0, 0, None));
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -16,7 +16,7 @@
     pub(super) fn limit_local_cache(&mut self) {
         let (transfer_bytes_per_s, link_bytes_per_s) = self.configuration.local_cache_link;
         let processes = if self.has_other_process() { 2.0 } else { 1.0 };
-        self.local_cache.limit(Limits {
+        self.local_cache.set_limits(Limits {
             max_bytes: self.bounds.local_cache,
             transfer_bytes_per_s,
             link_bytes_per_s: link_bytes_per_s / processes,
