--- a/crates/fleet-simulation/src/slopes/copies.rs
+++ b/crates/fleet-simulation/src/slopes/copies.rs
@@ -16,7 +16,7 @@
     let mut copies = LocalCache::default();
     copies.set_limits(Limits { max_bytes: 256 << 20, transfer_bytes_per_s: 1e9, link_bytes_per_s: 1e9 });
     for n in 0..many as u64 {
-        let key = Key { class: 0, object: n, part: 0 };
+        let key = Key { class: 0, object: n, chunk: 0 };
         (0..3).for_each(|_| copies.count_demand(S, key));
         let copy = CachedCopy { tag: format!("tag-{n}"), minted: S, group: n % 97, body: vec![7; BODY] };
         copies.insert(S, key, copy);
@@ -37,7 +37,7 @@
         let (mut copies, mut watch) = (kept(n), Stopwatch::new());
         for k in 0..2_000u64 {
             let wish = Lookup {
-                key: Key { class: 0, object: k % n as u64, part: 0 },
+                key: Key { class: 0, object: k % n as u64, chunk: 0 },
                 fresh_for: 0,
                 latency_objective: S,
                 if_none_match: None,
--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -38,7 +38,7 @@
     /// The object.
     pub object: u64,
     /// Which of its parts.
-    pub part: u64,
+    pub chunk: u64,
 }
 
 /// What an instance may hold and send of its own.
--- a/src/local_cache/tests.rs
+++ b/src/local_cache/tests.rs
@@ -6,7 +6,7 @@
 const LIMITS: Limits = Limits { max_bytes: 10_000, transfer_bytes_per_s: 1_000.0, link_bytes_per_s: 2_000.0 };
 
 fn key(object: u64) -> Key {
-    Key { class: 0, object, part: 0 }
+    Key { class: 0, object, chunk: 0 }
 }
 
 fn copies() -> LocalCache {
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -88,7 +88,7 @@
             && class.idempotency == Idempotency::Idempotent
             && request.body.is_empty();
         is_cacheable.then(|| Lookup {
-            key: Key { class: number, object: request.object.1, part: request.chunk },
+            key: Key { class: number, object: request.object.1, chunk: request.chunk },
             fresh_for: class.fresh_for,
             latency_objective: self.latency_objective(class, request.size_kb),
             if_none_match: request.if_none_match.as_deref(),
