--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -65,7 +65,7 @@
     /// Its tag.
     pub tag: String,
     /// When the origin gave it out.
-    pub minted: Micros,
+    pub created_at: Micros,
     /// The purge group of its object.
     pub group: u64,
     /// The bytes.
@@ -170,7 +170,7 @@
     /// Serves a copy if there is one that will do and it is sent in time.
     pub fn serve(&mut self, now: Micros, lookup: Lookup) -> Option<CacheHit<'_>> {
         let copy = self.copies.get(&lookup.key)?;
-        let age = now.saturating_sub(copy.minted);
+        let age = now.saturating_sub(copy.created_at);
         if lookup.fresh_for > 0 && age as f64 >= lookup.fresh_for as f64 * SERVED_SHARE {
             return None;
         }
@@ -209,7 +209,7 @@
 
     /// Keeps a copy, in place of an older one of the same and of those that are used least.
     pub fn insert(&mut self, now: Micros, key: Key, copy: CachedCopy) {
-        let has_newer = self.copies.peek(&key).is_some_and(|held| held.minted > copy.minted);
+        let has_newer = self.copies.peek(&key).is_some_and(|held| held.created_at > copy.created_at);
         if has_newer || !self.admits(now, &key, copy.size() - OVERHEAD_BYTES) {
             return;
         }
--- a/src/local_cache/tests.rs
+++ b/src/local_cache/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn copy(minted: Micros, bytes: usize) -> CachedCopy {
-    CachedCopy { tag: format!("t{minted}"), minted, group: 7, body: vec![1; bytes] }
+    CachedCopy { tag: format!("t{minted}"), created_at: minted, group: 7, body: vec![1; bytes] }
 }
 
 fn wish(object: u64) -> Lookup<'static> {
@@ -139,7 +139,7 @@
             match kind {
                 0 | 1 => {
                     let (before, aim) = (c.link_free_at, 3 * S);
-                    let minted = c.copies.peek(&key(object)).map(|k| k.minted);
+                    let minted = c.copies.peek(&key(object)).map(|k| k.created_at);
                     wanted(&mut c, now, object, 1);
                     let given = c.serve(now, Lookup { latency_objective: aim, ..wish(object) }).map(|g| match g {
                         CacheHit::Body(b) => b.len() as f64,
