--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedCopy {
     /// Its tag.
-    pub tag: String,
+    pub etag: String,
     /// When the origin gave it out.
     pub created_at: Micros,
     /// The purge group of its object.
@@ -74,7 +74,7 @@
 
 impl CachedCopy {
     fn size(&self) -> usize {
-        self.body.len() + self.tag.len() + OVERHEAD_BYTES
+        self.body.len() + self.etag.len() + OVERHEAD_BYTES
     }
 }
 
@@ -174,7 +174,7 @@
         if lookup.fresh_for > 0 && age as f64 >= lookup.fresh_for as f64 * SERVED_SHARE {
             return None;
         }
-        let not_modified = lookup.if_none_match == Some(copy.tag.as_str());
+        let not_modified = lookup.if_none_match == Some(copy.etag.as_str());
         let bytes = copy.body.len() as f64 * if not_modified { NOT_MODIFIED_SHARE } else { 1.0 };
         let transfer_time = |bytes_per_s: f64| (bytes / bytes_per_s * MICROS_PER_S) as Micros;
         let link_free_at = self.link_free_at.max(now) + transfer_time(self.limits.link_bytes_per_s);
--- a/src/local_cache/tests.rs
+++ b/src/local_cache/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn copy(minted: Micros, bytes: usize) -> CachedCopy {
-    CachedCopy { tag: format!("t{minted}"), created_at: minted, group: 7, body: vec![1; bytes] }
+    CachedCopy { etag: format!("t{minted}"), created_at: minted, group: 7, body: vec![1; bytes] }
 }
 
 fn wish(object: u64) -> Lookup<'static> {
