--- a/crates/fleet-simulation/src/slopes/copies.rs
+++ b/crates/fleet-simulation/src/slopes/copies.rs
@@ -18,7 +18,8 @@
     for n in 0..many as u64 {
         let key = Key { class: 0, object: n, chunk: 0 };
         (0..3).for_each(|_| copies.count_demand(S, key));
-        let copy = CachedCopy { etag: format!("tag-{n}"), created_at: S, group: n % 97, body: vec![7; BODY] };
+        let copy =
+            CachedCopy { etag: format!("tag-{n}"), created_at: S, purge_group: n % 97, body: vec![7; BODY] };
         copies.insert(S, key, copy);
     }
     copies
--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -67,7 +67,7 @@
     /// When the origin gave it out.
     pub created_at: Micros,
     /// The purge group of its object.
-    pub group: u64,
+    pub purge_group: u64,
     /// The bytes.
     pub body: Vec<u8>,
 }
@@ -222,8 +222,9 @@
     /// Drops the copies of an object, or of a whole group. What comes later and is older still must not be inserted:
     /// that is the driver's part, which knows the purges in force.
     pub fn purge(&mut self, object: Option<u64>, group: u64) {
-        let covers =
-            |key: &Key, copy: &CachedCopy| object.map_or(copy.group == group, |object| key.object == object);
+        let covers = |key: &Key, copy: &CachedCopy| {
+            object.map_or(copy.purge_group == group, |object| key.object == object)
+        };
         let covered = self.copies.iter().filter(|(key, copy)| covers(key, copy));
         let keys: Vec<Key> = covered.map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| self.remove(key));
--- a/src/local_cache/tests.rs
+++ b/src/local_cache/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn copy(minted: Micros, bytes: usize) -> CachedCopy {
-    CachedCopy { etag: format!("t{minted}"), created_at: minted, group: 7, body: vec![1; bytes] }
+    CachedCopy { etag: format!("t{minted}"), created_at: minted, purge_group: 7, body: vec![1; bytes] }
 }
 
 fn wish(object: u64) -> Lookup<'static> {
@@ -153,7 +153,7 @@
                 }
                 2 | 3 => {
                     let minted = (now - wait / 2).max(void[object as usize] + 1);
-                    c.insert(now, key(object), CachedCopy { group: object % 2, ..copy(minted, bytes) });
+                    c.insert(now, key(object), CachedCopy { purge_group: object % 2, ..copy(minted, bytes) });
                 }
                 4 => {
                     c.purge(Some(object), 0);
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -65,8 +65,12 @@
             return;
         }
         let group = active.request.purge_group;
-        let copy =
-            CachedCopy { etag: tag.to_owned(), created_at: minted, group, body: response.body.clone() };
+        let copy = CachedCopy {
+            etag: tag.to_owned(),
+            created_at: minted,
+            purge_group: group,
+            body: response.body.clone(),
+        };
         self.local_cache.insert(self.now, key, copy);
     }
 
