--- a/src/local_cache/mod.rs
+++ b/src/local_cache/mod.rs
@@ -1,9 +1,9 @@
-//! Copies of objects in the instance's own memory: which are kept, which may be served, and when that is in time.
+//! Cache of responses in the instance's own memory: admission, eviction, and which copies may be served.
 //!
-//! No input or output and no clock. A copy is served only while it is fresh, was not purged, and the instance's own
-//! link has the time for it: its bytes run at the pace of one transfer at most, and all transfers share the link in
-//! the order of their responses. What is kept goes by how often it was asked for lately (TinyLFU: Einziger, Friedman
-//! and Manes, 2017): a copy pushes out only such as are asked for less. The driver is `src/proxy/local_cache.rs`.
+//! The module does no I/O and reads no clock. A copy is served only if it is fresh, was not purged, and can be sent
+//! in time over the instance's own link: one transfer runs at the transfer rate at most, and all transfers share the
+//! link in the order of their responses. Admission follows recent demand (TinyLFU: Einziger, Friedman and Manes,
+//! 2017): a copy evicts only copies with less demand. The driver is `src/proxy/local_cache.rs`.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 #[cfg(test)]
@@ -14,61 +14,62 @@
 use std::num::NonZeroUsize;
 
 const MICROS_PER_S: f64 = 1e6;
-/// Objects whose demand is remembered: several times as many as there is room for.
-const REMEMBERED_OBJECTS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
-/// Microseconds over which demand fades: about as long as one object is watched.
-const DEMAND_FADE_US: f64 = 15e6;
-/// An object with less demand is not kept.
+/// Maximum number of objects whose demand is tracked: several times as many as fit into the cache.
+const MAX_TRACKED_OBJECTS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+/// Time constant of the exponential decay of demand, in microseconds: about the time that one object is watched.
+const DEMAND_DECAY_US: f64 = 15e6;
+/// Minimum demand of an object that is cached.
 const MIN_DEMAND: f64 = 1.5;
-/// Share of the fresh time in which a copy is served from here; after it an endpoint is asked, which renews an ageing
-/// copy behind the response. Served here to its end, it would be renewed by no endpoint in time.
-const SERVED_SHARE: f64 = 0.8;
-/// Share of the time in which a response is wanted that waiting for the own link and sending may take.
-const TRANSFER_SHARE: f64 = 0.5;
-/// Share of a copy's bytes that it takes to tell a client that its own copy holds.
-const NOT_MODIFIED_SHARE: f64 = 0.05;
-/// Bytes that one copy takes beside its body and its tag.
+/// Fraction of the fresh time for which a copy is served from this cache. Later requests go to an endpoint, which
+/// revalidates an ageing copy in the background; if the copy were served here until it is stale, no endpoint would
+/// revalidate it in time.
+const SERVED_FRACTION: f64 = 0.8;
+/// Fraction of the latency objective that waiting for the instance's link and sending may take.
+const TRANSFER_FRACTION: f64 = 0.5;
+/// Size of a not-modified response, as a fraction of the copy's size.
+const NOT_MODIFIED_FRACTION: f64 = 0.05;
+/// Memory overhead of one copy besides its body and its ETag, in bytes.
 const OVERHEAD_BYTES: usize = 192;
 
-/// An object's part, in its class.
+/// Cache key: a chunk of an object, in its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The number of the class.
+    /// Number of the class.
     pub class: usize,
     /// The object.
     pub object: u64,
-    /// Which of its parts.
+    /// Index of the chunk.
     pub chunk: u64,
 }
 
-/// What an instance may hold and send of its own.
+/// Limits on the memory and the bandwidth of the cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Bytes of all copies together.
+    /// Maximum size of all copies together, in bytes.
     pub max_bytes: usize,
-    /// Bytes a second of one transfer; 0: nothing may be served from here.
+    /// Rate of one transfer, in bytes per second; 0 disables the cache.
     pub transfer_bytes_per_s: f64,
-    /// Bytes a second of all transfers together; 0: nothing may be served from here.
+    /// Rate of all transfers together, in bytes per second; 0 disables the cache.
     pub link_bytes_per_s: f64,
 }
 
 impl Limits {
-    /// Whether copies are held at all.
+    /// Returns whether the cache is enabled: no limit is 0.
     pub fn is_enabled(&self) -> bool {
         self.max_bytes > 0 && self.transfer_bytes_per_s > 0.0 && self.link_bytes_per_s > 0.0
     }
 }
 
-/// A copy as an endpoint gave it.
+/// A copy as an endpoint sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedCopy {
-    /// Its tag.
+    /// ETag of the copy.
     pub etag: String,
-    /// When the origin gave it out.
+    /// Time at which the origin created the copy.
     pub created_at: Micros,
-    /// The purge group of its object.
+    /// Purge group of the object.
     pub purge_group: u64,
-    /// The bytes.
+    /// The response body.
     pub body: Vec<u8>,
 }
 
@@ -78,50 +79,50 @@
     }
 }
 
-/// What a request is given from here.
+/// Response to a request from the cache.
 #[derive(Debug, PartialEq)]
 pub enum CacheHit<'a> {
-    /// The bytes.
+    /// The response body.
     Body(&'a [u8]),
-    /// The copy that the client has is the one.
+    /// The client's copy is current.
     NotModified,
 }
 
-/// What a request asks of the cache.
+/// Parameters of a cache lookup.
 #[derive(Clone, Copy, Debug)]
 pub struct Lookup<'a> {
-    /// The object's part.
+    /// Key of the requested chunk.
     pub key: Key,
-    /// How long a copy of the class is fresh; 0: until it is purged.
+    /// Time for which a copy of the class is fresh; 0: until it is purged.
     pub fresh_for: Micros,
-    /// Within what time the response is wanted.
+    /// Time within which the response is to be complete.
     pub latency_objective: Micros,
-    /// The tag of the client's own copy.
+    /// ETag of the client's own copy.
     pub if_none_match: Option<&'a str>,
 }
 
-/// How often an object was asked for, as of a moment.
+/// Decayed number of requests for an object, as of `counted_at`.
 #[derive(Clone, Copy, Debug)]
 struct Demand {
     count: f64,
     counted_at: Micros,
 }
 
-/// The copies that an instance holds.
+/// The instance's cache of copies.
 pub struct LocalCache {
     limits: Limits,
     copies: LruCache<Key, CachedCopy>,
     bytes: usize,
     demand: LruCache<Key, Demand>,
-    /// When the own link has sent all that was given so far.
+    /// Time at which the instance's link has sent all responses served so far.
     link_free_at: Micros,
 }
 
 impl Default for LocalCache {
     fn default() -> Self {
         let mut demand = LruCache::unbounded();
-        // Grown as it fills: a bounded one would take all of its memory at once.
-        demand.resize(REMEMBERED_OBJECTS);
+        // Starts unbounded because a bounded cache allocates all of its memory at once.
+        demand.resize(MAX_TRACKED_OBJECTS);
         LocalCache {
             limits: Limits::default(),
             copies: LruCache::unbounded(),
@@ -133,33 +134,33 @@
 }
 
 impl LocalCache {
-    /// Takes other limits; what has no room any more is dropped.
+    /// Sets the limits and evicts the copies that exceed them.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         self.shrink(if limits.is_enabled() { limits.max_bytes } else { 0 });
     }
 
-    /// Whether copies are held at all.
+    /// Returns whether the cache is enabled: no limit is 0.
     pub fn is_enabled(&self) -> bool {
         self.limits.is_enabled()
     }
 
-    /// How many copies are held.
+    /// Returns the number of copies.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether none is.
+    /// Returns whether there are no copies.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
 
-    /// The bytes of all copies, with what they take beside their bodies.
+    /// Returns the size of all copies in bytes, overhead included.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Counts that an object is asked for.
+    /// Counts a request for an object.
     pub fn count_demand(&mut self, now: Micros, key: Key) {
         if self.is_enabled() {
             let count = self.demand(now, &key) + 1.0;
@@ -167,26 +168,27 @@
         }
     }
 
-    /// Serves a copy if there is one that will do and it is sent in time.
+    /// Returns the response from a copy that is fresh enough and can be sent in time; `None` on a miss.
     pub fn serve(&mut self, now: Micros, lookup: Lookup) -> Option<CacheHit<'_>> {
         let copy = self.copies.get(&lookup.key)?;
         let age = now.saturating_sub(copy.created_at);
-        if lookup.fresh_for > 0 && age as f64 >= lookup.fresh_for as f64 * SERVED_SHARE {
+        if lookup.fresh_for > 0 && age as f64 >= lookup.fresh_for as f64 * SERVED_FRACTION {
             return None;
         }
         let not_modified = lookup.if_none_match == Some(copy.etag.as_str());
-        let bytes = copy.body.len() as f64 * if not_modified { NOT_MODIFIED_SHARE } else { 1.0 };
+        let bytes = copy.body.len() as f64 * if not_modified { NOT_MODIFIED_FRACTION } else { 1.0 };
         let transfer_time = |bytes_per_s: f64| (bytes / bytes_per_s * MICROS_PER_S) as Micros;
         let link_free_at = self.link_free_at.max(now) + transfer_time(self.limits.link_bytes_per_s);
         let sent_at = link_free_at.max(now + transfer_time(self.limits.transfer_bytes_per_s));
-        if (sent_at - now) as f64 > lookup.latency_objective as f64 * TRANSFER_SHARE {
+        if (sent_at - now) as f64 > lookup.latency_objective as f64 * TRANSFER_FRACTION {
             return None;
         }
         self.link_free_at = link_free_at;
         Some(if not_modified { CacheHit::NotModified } else { CacheHit::Body(&copy.body) })
     }
 
-    /// Whether a copy with a body of this size would be kept now; asked before its bytes are copied.
+    /// Returns whether a copy with a body of this size would be cached now. The driver checks this before it copies the
+    /// body.
     pub fn admits(&self, now: Micros, key: &Key, body_bytes: usize) -> bool {
         let size = body_bytes + OVERHEAD_BYTES;
         let demand = self.demand(now, key);
@@ -207,10 +209,11 @@
         free >= size
     }
 
-    /// Keeps a copy, in place of an older one of the same and of those that are used least.
+    /// Caches a copy if it is admitted. It replaces an older copy with the same key and evicts the least recently used
+    /// copies.
     pub fn insert(&mut self, now: Micros, key: Key, copy: CachedCopy) {
-        let has_newer = self.copies.peek(&key).is_some_and(|held| held.created_at > copy.created_at);
-        if has_newer || !self.admits(now, &key, copy.size() - OVERHEAD_BYTES) {
+        let has_newer_copy = self.copies.peek(&key).is_some_and(|cached| cached.created_at > copy.created_at);
+        if has_newer_copy || !self.admits(now, &key, copy.size() - OVERHEAD_BYTES) {
             return;
         }
         self.remove(&key);
@@ -219,14 +222,14 @@
         self.copies.put(key, copy);
     }
 
-    /// Drops the copies of an object, or of a whole group. What comes later and is older still must not be inserted:
-    /// that is the driver's part, which knows the purges in force.
+    /// Drops the copies of an object, or of a purge group. The driver, which knows the purges in force, must not insert
+    /// copies that are older than a purge.
     pub fn purge(&mut self, object: Option<u64>, group: u64) {
-        let covers = |key: &Key, copy: &CachedCopy| {
+        let is_purged = |key: &Key, copy: &CachedCopy| {
             object.map_or(copy.purge_group == group, |object| key.object == object)
         };
-        let covered = self.copies.iter().filter(|(key, copy)| covers(key, copy));
-        let keys: Vec<Key> = covered.map(|(key, _)| *key).collect();
+        let purged = self.copies.iter().filter(|(key, copy)| is_purged(key, copy));
+        let keys: Vec<Key> = purged.map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| self.remove(key));
     }
 
@@ -237,7 +240,7 @@
 
     fn demand(&self, now: Micros, key: &Key) -> f64 {
         let Some(Demand { count, counted_at }) = self.demand.peek(key) else { return 0.0 };
-        count * (-(now.saturating_sub(*counted_at) as f64) / DEMAND_FADE_US).exp()
+        count * (-(now.saturating_sub(*counted_at) as f64) / DEMAND_DECAY_US).exp()
     }
 
     fn remove(&mut self, key: &Key) {
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Drops the copies that were not served for longest, down to so many bytes.
+    /// Evicts the least recently served copies until the size is at most `max_bytes`.
     fn shrink(&mut self, max_bytes: usize) {
         while self.bytes > max_bytes {
             let Some((_, copy)) = self.copies.pop_lru() else { break };
