--- a/crates/fleet-simulation/src/follow/registry.rs
+++ b/crates/fleet-simulation/src/follow/registry.rs
@@ -2,7 +2,7 @@
 //! once.
 
 use larchdale::purges::log::{append, SLOTS};
-use larchdale::purges::Cover;
+use larchdale::purges::PurgeScope;
 use larchdale::registry::messages::{KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchResponse};
 use larchdale_test_support::registry::store::{Refused, Store};
 use prost::Message;
@@ -64,7 +64,7 @@
         let written = (self.store.revision - 1) as usize;
         if self.purge_log {
             // The head lies outside of what is followed.
-            let object = Cover::Object((written as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            let object = PurgeScope::Object((written as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
             let Ok((_, [head, entry])) = append(self.head.as_deref(), unix_ms, vec![object]) else {
                 return self.store.revision;
             };
--- a/crates/fleet-simulation/src/loopback/processes.rs
+++ b/crates/fleet-simulation/src/loopback/processes.rs
@@ -12,7 +12,7 @@
 use crate::slopes::list::record_below;
 use crate::slopes::Effort;
 use larchdale::purges::log::append;
-use larchdale::purges::Cover;
+use larchdale::purges::PurgeScope;
 use larchdale_test_support::registry::server::Registry;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -116,7 +116,7 @@
 /// A purge of one object is appended to a log.
 fn purge(registry: &Registry, head: &mut Option<Vec<u8>>, n: u64) {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-    let object = Cover::Object(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let object = PurgeScope::Object(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let Ok((_, [last, entry])) = append(head.as_deref(), now, vec![object]) else { return };
     registry.with(|s| s.put(format!("{PREFIX}{}", entry.0).as_bytes(), &entry.1, 0));
     *head = Some(last.1);
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -5,7 +5,7 @@
 use super::{exit_code, fail};
 use crate::config::product::{script, Registry};
 use crate::purges::log::{append, Settings, HEAD, MOST_COVERS};
-use crate::purges::Cover;
+use crate::purges::PurgeScope;
 use crate::registry::messages::{request_op, PutRequest};
 use clap::Args;
 use std::net::SocketAddr;
@@ -61,9 +61,9 @@
             "which log? Name --product FILE with purge_log(), or --endpoint ADDRESS and --prefix PREFIX",
         );
     };
-    let objects = options.objects.iter().map(|&object| Cover::Object(object));
-    let groups = options.groups.iter().map(|&group| Cover::Group(u64::from(group)));
-    let covers: Vec<Cover> = objects.chain(groups).collect();
+    let objects = options.objects.iter().map(|&object| PurgeScope::Object(object));
+    let groups = options.groups.iter().map(|&group| PurgeScope::Group(u64::from(group)));
+    let covers: Vec<PurgeScope> = objects.chain(groups).collect();
     if !(1..=MOST_COVERS).contains(&covers.len()) {
         return fail(&format!(
             "what is purged? Name 1 to {MOST_COVERS} objects and groups, not {}",
@@ -85,7 +85,7 @@
     revision: i64,
 }
 
-fn append_entry(client: &mut Client, prefix: &str, covers: &[Cover]) -> Result<Appended, CommandError> {
+fn append_entry(client: &mut Client, prefix: &str, covers: &[PurgeScope]) -> Result<Appended, CommandError> {
     let head_key = format!("{prefix}{HEAD}").into_bytes();
     for _ in 0..MAX_ATTEMPTS {
         let head = client.get(&head_key)?;
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -10,7 +10,7 @@
 use crate::net::protocol::command_channel::{Command, Purge};
 use crate::purges::cut_off::{Cause, CauseCounts, Evidence};
 use crate::purges::log::{Action, Figures, Notice, PurgeLog, Settings, ENTRIES, SLOTS};
-use crate::purges::Cover;
+use crate::purges::PurgeScope;
 use crate::registry::documents::driver::DocumentsDriver;
 use crate::registry::documents::{FollowPhase, Settings as RegistrySettings};
 use crate::routing::events::{Event, Micros};
@@ -180,10 +180,10 @@
     /// Does what the purge log asks.
     pub(super) fn follow_purge_log(&mut self, action: Action) {
         match action {
-            Action::Purge(Cover::Object(object), when_ms) => {
+            Action::Purge(PurgeScope::Object(object), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Object(object), when_ms });
             }
-            Action::Purge(Cover::Group(group), when_ms) => {
+            Action::Purge(PurgeScope::Group(group), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Group(group), when_ms });
             }
             Action::Purge(..) => invariant!(false, "a purge of the log is of an object or a group"),
--- a/src/purges/in_force.rs
+++ b/src/purges/in_force.rs
@@ -10,7 +10,7 @@
 //! makes the bound stricter.
 
 use super::marks::{Mark, MarkTable};
-use super::purge::{parse_pattern, Cover, InvalidPurge, Purge};
+use super::purge::{parse_pattern, InvalidPurge, Purge, PurgeScope};
 use crate::routing::events::Micros;
 use globset::{GlobSet, GlobSetBuilder};
 use std::collections::BTreeMap;
@@ -105,14 +105,14 @@
         let mut has_pattern = false;
         for cover in &purge.covers {
             match cover {
-                Cover::Object(object) => self.objects.add(*object, mark),
-                Cover::Group(group) => self.groups.add(*group, mark),
-                Cover::Tag(tag) => {
+                PurgeScope::Object(object) => self.objects.add(*object, mark),
+                PurgeScope::Group(group) => self.groups.add(*group, mark),
+                PurgeScope::Tag(tag) => {
                     self.tags.add(tag.clone(), mark);
                     self.any_tag.merge(mark);
                 }
-                Cover::Pattern(pattern) if &**pattern == MATCH_ALL => self.everything.merge(mark),
-                Cover::Pattern(pattern) => {
+                PurgeScope::Pattern(pattern) if &**pattern == MATCH_ALL => self.everything.merge(mark),
+                PurgeScope::Pattern(pattern) => {
                     self.patterns.entry(pattern.clone()).or_default().merge(mark);
                     has_pattern = true;
                 }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -20,7 +20,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::Cover;
+use super::PurgeScope;
 use crate::routing::events::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     /// Unix millisecond of the purge: copies made before it are void. No earlier than that of the entry before.
     pub when_ms: u64,
     /// What it covers.
-    pub covers: Vec<Cover>,
+    pub covers: Vec<PurgeScope>,
 }
 
 /// The end of the log.
@@ -161,7 +161,11 @@
 ///
 /// # Errors
 /// It covers too much or nothing, the head can't be read, or the log is full.
-pub fn append(head: Option<&[u8]>, now_ms: u64, covers: Vec<Cover>) -> Result<(Entry, [Write; 2]), LogError> {
+pub fn append(
+    head: Option<&[u8]>,
+    now_ms: u64,
+    covers: Vec<PurgeScope>,
+) -> Result<(Entry, [Write; 2]), LogError> {
     if !(1..=MOST_COVERS).contains(&covers.len()) {
         return Err(LogError::Covers { covers: covers.len() });
     }
@@ -177,7 +181,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Copies of this made before a Unix millisecond are void. Objects and groups only.
-    Purge(Cover, u64),
+    Purge(PurgeScope, u64),
     /// No copy older than this is accepted; `None`: what was purged is known.
     Bound(Option<Micros>),
     /// Copies that the instance keeps itself are void: purges may have been missed since they were made.
@@ -459,11 +463,11 @@
         }
         for cover in entry.covers {
             match cover {
-                Cover::Object(_) | Cover::Group(_) => {
+                PurgeScope::Object(_) | PurgeScope::Group(_) => {
                     actions.push(Action::Purge(cover, entry.when_ms.saturating_add(self.skew.div_ceil(MS))));
                 }
                 // Which objects these are is not known here: unknown is strict.
-                Cover::Tag(_) | Cover::Pattern(_) => {
+                PurgeScope::Tag(_) | PurgeScope::Pattern(_) => {
                     self.raise_floor(now, now.saturating_sub(age));
                     actions.push(Action::VoidOwn);
                 }
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -34,7 +34,7 @@
 
     fn purge_at(&mut self, now: Micros, issuer_ms: u64, object: u64) -> String {
         let (entry, [head, new]) =
-            append(self.head.as_deref(), issuer_ms, vec![Cover::Object(object)]).unwrap();
+            append(self.head.as_deref(), issuer_ms, vec![PurgeScope::Object(object)]).unwrap();
         self.committed.push((now, object, entry.when_ms));
         self.head = Some(head.1);
         let key = new.0.strip_prefix(ENTRIES).unwrap().to_owned();
@@ -72,7 +72,7 @@
     fn take(&mut self, now: Micros, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Purge(Cover::Object(object), when_ms) => {
+                Action::Purge(PurgeScope::Object(object), when_ms) => {
                     let age = unix_ms(now).saturating_sub(when_ms) * MS;
                     let at = self.purged.entry(object).or_default();
                     *at = (*at).max(now - age);
@@ -205,7 +205,7 @@
         ("removed", |r| drop(r.entries.remove(&slot(1)))),
         ("a tag, and which objects have it is not known", |r| {
             let (_, [head, new]) =
-                append(r.head.as_deref(), unix_ms(T0 + S), vec![Cover::Tag("t".into())]).unwrap();
+                append(r.head.as_deref(), unix_ms(T0 + S), vec![PurgeScope::Tag("t".into())]).unwrap();
             r.head = Some(head.1);
             r.entries.insert(slot(2), new.1);
         }),
@@ -232,15 +232,15 @@
 #[test]
 fn entries_that_break_the_rules_of_the_log_are_not_appended() {
     assert_eq!(append(None, 1, Vec::new()).unwrap_err(), LogError::Covers { covers: 0 });
-    let most = vec![Cover::Object(1); MOST_COVERS + 1];
+    let most = vec![PurgeScope::Object(1); MOST_COVERS + 1];
     assert_eq!(append(None, 1, most).unwrap_err(), LogError::Covers { covers: MOST_COVERS + 1 });
     let spoilt = LogError::Unreadable { key: HEAD.into() };
-    assert_eq!(append(Some(b""), 1, vec![Cover::Object(1)]).unwrap_err(), spoilt);
+    assert_eq!(append(Some(b""), 1, vec![PurgeScope::Object(1)]).unwrap_err(), spoilt);
     let last = encode(&Head { number: u64::MAX, when_ms: 5 });
-    assert_eq!(append(Some(&last), 1, vec![Cover::Object(1)]).unwrap_err(), LogError::Full);
+    assert_eq!(append(Some(&last), 1, vec![PurgeScope::Object(1)]).unwrap_err(), LogError::Full);
     // An issuer whose clock is behind does not take the log's moments back.
     let head = encode(&Head { number: 4, when_ms: 500 });
-    let (entry, [_, (key, _)]) = append(Some(&head), 300, vec![Cover::Group(3)]).unwrap();
+    let (entry, [_, (key, _)]) = append(Some(&head), 300, vec![PurgeScope::Group(3)]).unwrap();
     assert_eq!((entry.number, entry.when_ms, key.as_str()), (5, 500, "log/0005"));
 }
 
--- a/src/purges/mod.rs
+++ b/src/purges/mod.rs
@@ -14,4 +14,4 @@
 mod tests;
 
 pub use self::in_force::{Capacity, InForce, RequestedObject};
-pub use self::purge::{Cover, InvalidPurge, Purge, MAX_COVERS};
+pub use self::purge::{InvalidPurge, Purge, PurgeScope, MAX_COVERS};
--- a/src/purges/purge.rs
+++ b/src/purges/purge.rs
@@ -15,7 +15,7 @@
 
 /// What one part of a purge covers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Cover {
+pub enum PurgeScope {
     /// One object.
     Object(u64),
     /// All objects of a group.
@@ -36,7 +36,7 @@
     /// It is in force until then; no copy from before it is left anywhere after that.
     pub until: Micros,
     /// What it covers.
-    pub covers: Vec<Cover>,
+    pub covers: Vec<PurgeScope>,
 }
 
 /// Why a purge can't be used. It is refused as a whole.
@@ -70,10 +70,10 @@
         }
         for cover in &self.covers {
             match cover {
-                Cover::Tag(tag) if !(1..=MAX_TEXT_BYTES).contains(&tag.len()) => {
+                PurgeScope::Tag(tag) if !(1..=MAX_TEXT_BYTES).contains(&tag.len()) => {
                     return Err(InvalidPurge::Tag(shortened(tag)));
                 }
-                Cover::Pattern(pattern) => drop(parse_pattern(pattern)?),
+                PurgeScope::Pattern(pattern) => drop(parse_pattern(pattern)?),
                 _ => {}
             }
         }
--- a/src/purges/tests.rs
+++ b/src/purges/tests.rs
@@ -11,7 +11,7 @@
     format!("t{n}").into()
 }
 
-fn purge(when: Micros, term: Micros, covers: Vec<Cover>) -> Purge {
+fn purge(when: Micros, term: Micros, covers: Vec<PurgeScope>) -> Purge {
     Purge { number: when, when, until: when + term, covers }
 }
 
@@ -21,12 +21,12 @@
 
 /// What the purges ask for, one by one.
 fn plain(purges: &[Purge], w: &RequestedObject, now: Micros) -> Option<Micros> {
-    let covers = |c: &Cover| match c {
-        Cover::Object(o) => *o == w.object,
-        Cover::Group(g) => *g == w.group,
-        Cover::Tag(t) => w.tags.is_none_or(|tags| tags.contains(t)),
+    let covers = |c: &PurgeScope| match c {
+        PurgeScope::Object(o) => *o == w.object,
+        PurgeScope::Group(g) => *g == w.group,
+        PurgeScope::Tag(t) => w.tags.is_none_or(|tags| tags.contains(t)),
         // Written out, so that it does not rest on the library that it judges.
-        Cover::Pattern(p) => match &**p {
+        PurgeScope::Pattern(p) => match &**p {
             "scan-*" => w.name.starts_with("scan-"),
             "*-1" => w.name.ends_with("-1"),
             "scan-[0-4]" => {
@@ -41,13 +41,13 @@
     purges.iter().filter(|p| now < p.until && p.covers.iter().any(covers)).map(|p| p.when).max()
 }
 
-fn a_cover() -> impl Strategy<Value = Cover> {
+fn a_cover() -> impl Strategy<Value = PurgeScope> {
     prop_oneof![
-        (0..12u64).prop_map(Cover::Object),
-        (0..3u64).prop_map(Cover::Group),
-        (0..8u8).prop_map(|n| Cover::Tag(tag(n))),
+        (0..12u64).prop_map(PurgeScope::Object),
+        (0..3u64).prop_map(PurgeScope::Group),
+        (0..8u8).prop_map(|n| PurgeScope::Tag(tag(n))),
         prop_oneof![Just("scan-*"), Just("*-1"), Just("scan-[0-4]"), Just("{scan,clip}-7")]
-            .prop_map(|p| Cover::Pattern(p.into())),
+            .prop_map(|p| PurgeScope::Pattern(p.into())),
     ]
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn a_purge_repeated_late_does_not_void_the_copy_made_since() {
     let mut state = InForce::new(Capacity::default());
-    let p = purge(100, 1_000, vec![Cover::Tag(tag(1))]);
+    let p = purge(100, 1_000, vec![PurgeScope::Tag(tag(1))]);
     state.apply(&p).unwrap();
     // The copy made at 150 is good, and is still when the same purge comes again.
     state.apply(&p).unwrap();
@@ -134,9 +134,9 @@
 fn what_cant_be_used_is_refused_whole_with_its_reason_and_counts_for_everything() {
     for (covers, why) in [
         (vec![], "covers 0 things"),
-        (vec![Cover::Object(1), Cover::Tag("".into())], "can't be a tag"),
-        (vec![Cover::Pattern("a[".into())], "pattern 'a['"),
-        (vec![Cover::Pattern("x".repeat(300).into())], "1 to 256 bytes"),
+        (vec![PurgeScope::Object(1), PurgeScope::Tag("".into())], "can't be a tag"),
+        (vec![PurgeScope::Pattern("a[".into())], "pattern 'a['"),
+        (vec![PurgeScope::Pattern("x".repeat(300).into())], "1 to 256 bytes"),
     ] {
         let mut state = InForce::new(Capacity::default());
         let said = state.apply(&purge(100, 50, covers)).unwrap_err().to_string();
@@ -145,5 +145,5 @@
         state.expire(150);
         assert_eq!(state.void_before(&wanted(9, "y", Some(&[])), 150), None);
     }
-    assert_eq!(purge(5, 0, vec![Cover::Object(1)]).check(), Err(InvalidPurge::Term));
+    assert_eq!(purge(5, 0, vec![PurgeScope::Object(1)]).check(), Err(InvalidPurge::Term));
 }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -3,7 +3,7 @@
 use crate::digest::{expect, Digest};
 use larchdale::purges::log::{append, Action, Head, LogError, Notice, PurgeLog, Settings, ENTRIES};
 use larchdale::purges::recent::Recent;
-use larchdale::purges::{Capacity, Cover, InForce, InvalidPurge, Purge, RequestedObject};
+use larchdale::purges::{Capacity, InForce, InvalidPurge, Purge, PurgeScope, RequestedObject};
 use larchdale::routing::events::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -18,30 +18,30 @@
     format!("t{number}").into()
 }
 
-fn cover(rng: &mut Pcg32) -> Cover {
+fn cover(rng: &mut Pcg32) -> PurgeScope {
     match rng.random_range(0..8) {
-        0..3 => Cover::Object(rng.random_range(0..30)),
-        3..5 => Cover::Group(rng.random_range(0..8)),
-        5..7 => Cover::Tag(tag(rng.random_range(0..20))),
-        _ => Cover::Pattern(PATTERNS[rng.random_range(0..PATTERNS.len())].into()),
+        0..3 => PurgeScope::Object(rng.random_range(0..30)),
+        3..5 => PurgeScope::Group(rng.random_range(0..8)),
+        5..7 => PurgeScope::Tag(tag(rng.random_range(0..20))),
+        _ => PurgeScope::Pattern(PATTERNS[rng.random_range(0..PATTERNS.len())].into()),
     }
 }
 
-fn write_cover(digest: &mut Digest, cover: &Cover) {
+fn write_cover(digest: &mut Digest, cover: &PurgeScope) {
     match cover {
-        Cover::Object(object) => {
+        PurgeScope::Object(object) => {
             digest.tag(1);
             digest.number(*object);
         }
-        Cover::Group(group) => {
+        PurgeScope::Group(group) => {
             digest.tag(2);
             digest.number(*group);
         }
-        Cover::Tag(tag) => {
+        PurgeScope::Tag(tag) => {
             digest.tag(3);
             digest.text(tag);
         }
-        Cover::Pattern(pattern) => {
+        PurgeScope::Pattern(pattern) => {
             digest.tag(4);
             digest.text(pattern);
         }
@@ -173,7 +173,7 @@
 }
 
 impl Ring {
-    fn append(&mut self, unix_ms: u64, covers: Vec<Cover>, digest: &mut Digest) {
+    fn append(&mut self, unix_ms: u64, covers: Vec<PurgeScope>, digest: &mut Digest) {
         match append(self.head.as_deref(), unix_ms, covers) {
             Ok((entry, [head, written])) => {
                 digest.number(entry.number);
--- a/tests/purge_log.rs
+++ b/tests/purge_log.rs
@@ -5,7 +5,7 @@
 use fault_injection::tcp_relay::TcpRelay;
 use fault_injection::{Rule, Schedule};
 use larchdale::purges::log::{append, HEAD};
-use larchdale::purges::Cover;
+use larchdale::purges::PurgeScope;
 use larchdale::registry::messages::{request_op, PutRequest, RequestOp, TxnRequest};
 use larchdale_test_support::processes::until;
 use larchdale_test_support::registry::server::{Fault, Registry};
@@ -74,7 +74,7 @@
     fn purge(&mut self, ranks: std::ops::Range<u64>) -> u64 {
         let classes = self.fleet.plan.figures.classes.iter().filter(|c| !c.writes);
         let objects: Vec<u64> = classes.flat_map(|c| ranks.clone().map(|r| c.object(r))).collect();
-        let covers = objects.iter().map(|&o| Cover::Object(o)).collect();
+        let covers = objects.iter().map(|&o| PurgeScope::Object(o)).collect();
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
         let head = format!("{PREFIX}{HEAD}").into_bytes();
         let entry = self.registry.with(|store| {
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -10,7 +10,7 @@
 use larchdale::placement::load::Work;
 use larchdale::placement::map::{Shard, ShardMap};
 use larchdale::placement::moves::{Change, Move, Moves, RestingShard, Step};
-use larchdale::purges::{log, Cover};
+use larchdale::purges::{log, PurgeScope};
 use larchdale::registry::answers::{KeyEntry, Reader};
 use larchdale::registry::record::{EndpointRecord, Names, State};
 use larchdale::registry::session::SavedList;
@@ -247,12 +247,12 @@
 #[test]
 fn the_entries_and_the_head_of_the_purge_log() {
     let covers = vec![
-        Cover::Object(0x7f3a_9c21_e0b4_d655),
-        Cover::Group(17),
-        Cover::Tag("news".into()),
-        Cover::Pattern("clips/*".into()),
+        PurgeScope::Object(0x7f3a_9c21_e0b4_d655),
+        PurgeScope::Group(17),
+        PurgeScope::Tag("news".into()),
+        PurgeScope::Pattern("clips/*".into()),
     ];
-    let (first, [(head_key, head), _]) = log::append(None, NOW_UNIX_MS, vec![Cover::Group(5)]).unwrap();
+    let (first, [(head_key, head), _]) = log::append(None, NOW_UNIX_MS, vec![PurgeScope::Group(5)]).unwrap();
     assert_eq!((first.number, head_key.as_str()), (1, "head"));
     let head = same_as_stored("stored/purge-log-head-1.hex", &head);
     // The head is read: the number goes on, and the moment does not go back.
