--- a/src/purges/in_force.rs
+++ b/src/purges/in_force.rs
@@ -103,7 +103,7 @@
             return Err(error);
         }
         let mut has_pattern = false;
-        for cover in &purge.covers {
+        for cover in &purge.scopes {
             match cover {
                 PurgeScope::Object(object) => self.objects.add(*object, mark),
                 PurgeScope::Group(group) => self.groups.add(*group, mark),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -78,7 +78,7 @@
     /// Unix millisecond of the purge: copies made before it are void. No earlier than that of the entry before.
     pub when_ms: u64,
     /// What it covers.
-    pub covers: Vec<PurgeScope>,
+    pub scopes: Vec<PurgeScope>,
 }
 
 /// The end of the log.
@@ -171,7 +171,7 @@
     }
     let last: Head = head.map(|h| decode(HEAD, h)).transpose()?.unwrap_or_default();
     let number = last.number.checked_add(1).ok_or(LogError::Full)?;
-    let entry = Entry { number, when_ms: now_ms.max(last.when_ms), covers };
+    let entry = Entry { number, when_ms: now_ms.max(last.when_ms), scopes: covers };
     let head = Head { number, when_ms: entry.when_ms };
     let writes = [(HEAD.to_owned(), encode(&head)), (format!("{ENTRIES}{}", slot(number)), encode(&entry))];
     Ok((entry, writes))
@@ -461,7 +461,7 @@
         if first && age >= self.lingers {
             return; // what it was about is gone everywhere, and nothing was kept here yet
         }
-        for cover in entry.covers {
+        for cover in entry.scopes {
             match cover {
                 PurgeScope::Object(_) | PurgeScope::Group(_) => {
                     actions.push(Action::Purge(cover, entry.when_ms.saturating_add(self.skew.div_ceil(MS))));
@@ -483,8 +483,8 @@
     if entry.number == 0 || key != slot(entry.number) {
         return Err(LogError::OutOfOrder { key: key.to_owned(), why: "another number belongs there" });
     }
-    if !(1..=MOST_COVERS).contains(&entry.covers.len()) {
-        return Err(LogError::Covers { covers: entry.covers.len() });
+    if !(1..=MOST_COVERS).contains(&entry.scopes.len()) {
+        return Err(LogError::Covers { covers: entry.scopes.len() });
     }
     Ok(entry)
 }
--- a/src/purges/purge.rs
+++ b/src/purges/purge.rs
@@ -36,7 +36,7 @@
     /// It is in force until then; no copy from before it is left anywhere after that.
     pub until: Micros,
     /// What it covers.
-    pub covers: Vec<PurgeScope>,
+    pub scopes: Vec<PurgeScope>,
 }
 
 /// Why a purge can't be used. It is refused as a whole.
@@ -62,13 +62,13 @@
     /// # Errors
     /// Something of it can't.
     pub fn check(&self) -> Result<(), InvalidPurge> {
-        if !(1..=MAX_COVERS).contains(&self.covers.len()) {
-            return Err(InvalidPurge::Covers(self.covers.len()));
+        if !(1..=MAX_COVERS).contains(&self.scopes.len()) {
+            return Err(InvalidPurge::Covers(self.scopes.len()));
         }
         if self.until <= self.when {
             return Err(InvalidPurge::Term);
         }
-        for cover in &self.covers {
+        for cover in &self.scopes {
             match cover {
                 PurgeScope::Tag(tag) if !(1..=MAX_TEXT_BYTES).contains(&tag.len()) => {
                     return Err(InvalidPurge::Tag(shortened(tag)));
--- a/src/purges/tests.rs
+++ b/src/purges/tests.rs
@@ -12,7 +12,7 @@
 }
 
 fn purge(when: Micros, term: Micros, covers: Vec<PurgeScope>) -> Purge {
-    Purge { number: when, when, until: when + term, covers }
+    Purge { number: when, when, until: when + term, scopes: covers }
 }
 
 fn wanted<'a>(object: u64, name: &'a str, tags: Option<&'a [Arc<str>]>) -> RequestedObject<'a> {
@@ -38,7 +38,7 @@
             other => panic!("{other}"),
         },
     };
-    purges.iter().filter(|p| now < p.until && p.covers.iter().any(covers)).map(|p| p.when).max()
+    purges.iter().filter(|p| now < p.until && p.scopes.iter().any(covers)).map(|p| p.when).max()
 }
 
 fn a_cover() -> impl Strategy<Value = PurgeScope> {
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -67,7 +67,7 @@
             7..14 => {
                 let covers = (0..rng.random_range(0..4)).map(|_| cover(&mut rng)).collect();
                 let until = now + rng.random_range(0..300);
-                let purge = Purge { number, when: now - rng.random_range(0..50), until, covers };
+                let purge = Purge { number, when: now - rng.random_range(0..50), until, scopes: covers };
                 let refused = states[at].apply(&purge).err();
                 digest.option(refused, |digest, unusable| {
                     digest.tag(match unusable {
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -257,7 +257,7 @@
     let head = same_as_stored("stored/purge-log-head-1.hex", &head);
     // The head is read: the number goes on, and the moment does not go back.
     let (entry, writes) = log::append(Some(&head), NOW_UNIX_MS - 9, covers.clone()).unwrap();
-    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, covers: covers.clone() });
+    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, scopes: covers.clone() });
     let [(_, head), (entry_key, entry)] = writes;
     same_as_stored("stored/purge-log-head-2.hex", &head);
     let entry = same_as_stored("stored/purge-log-entry-2.hex", &entry);
