--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -4,7 +4,7 @@
 use super::registry_client::{Client, Target};
 use super::{exit_code, fail};
 use crate::config::product::{script, Registry};
-use crate::purges::log::{append, Settings, HEAD, MOST_COVERS};
+use crate::purges::log::{append, Settings, HEAD, MAX_ENTRY_SCOPES};
 use crate::purges::PurgeScope;
 use crate::registry::messages::{request_op, PutRequest};
 use clap::Args;
@@ -64,9 +64,9 @@
     let objects = options.objects.iter().map(|&object| PurgeScope::Object(object));
     let groups = options.groups.iter().map(|&group| PurgeScope::Group(u64::from(group)));
     let covers: Vec<PurgeScope> = objects.chain(groups).collect();
-    if !(1..=MOST_COVERS).contains(&covers.len()) {
+    if !(1..=MAX_ENTRY_SCOPES).contains(&covers.len()) {
         return fail(&format!(
-            "what is purged? Name 1 to {MOST_COVERS} objects and groups, not {}",
+            "what is purged? Name 1 to {MAX_ENTRY_SCOPES} objects and groups, not {}",
             covers.len()
         ));
     }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -33,7 +33,7 @@
 /// Below the prefix of a log: its last number.
 pub const HEAD: &str = "head";
 /// Most things that one entry covers.
-pub const MOST_COVERS: usize = 1_000;
+pub const MAX_ENTRY_SCOPES: usize = 1_000;
 /// Format of entries and head.
 const FORMAT: u8 = 1;
 /// A bound that follows a floor is told anew after so long.
@@ -122,7 +122,7 @@
         key: String,
     },
     /// More than an entry may cover, or nothing.
-    #[error("a purge covers {covers} things; 1 to {MOST_COVERS} may be. Make several of it")]
+    #[error("a purge covers {covers} things; 1 to {MAX_ENTRY_SCOPES} may be. Make several of it")]
     Covers {
         /// How many.
         covers: usize,
@@ -166,7 +166,7 @@
     now_ms: u64,
     covers: Vec<PurgeScope>,
 ) -> Result<(Entry, [Write; 2]), LogError> {
-    if !(1..=MOST_COVERS).contains(&covers.len()) {
+    if !(1..=MAX_ENTRY_SCOPES).contains(&covers.len()) {
         return Err(LogError::Covers { covers: covers.len() });
     }
     let last: Head = head.map(|h| decode(HEAD, h)).transpose()?.unwrap_or_default();
@@ -483,7 +483,7 @@
     if entry.number == 0 || key != slot(entry.number) {
         return Err(LogError::OutOfOrder { key: key.to_owned(), why: "another number belongs there" });
     }
-    if !(1..=MOST_COVERS).contains(&entry.scopes.len()) {
+    if !(1..=MAX_ENTRY_SCOPES).contains(&entry.scopes.len()) {
         return Err(LogError::Covers { covers: entry.scopes.len() });
     }
     Ok(entry)
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -232,8 +232,8 @@
 #[test]
 fn entries_that_break_the_rules_of_the_log_are_not_appended() {
     assert_eq!(append(None, 1, Vec::new()).unwrap_err(), LogError::Covers { covers: 0 });
-    let most = vec![PurgeScope::Object(1); MOST_COVERS + 1];
-    assert_eq!(append(None, 1, most).unwrap_err(), LogError::Covers { covers: MOST_COVERS + 1 });
+    let most = vec![PurgeScope::Object(1); MAX_ENTRY_SCOPES + 1];
+    assert_eq!(append(None, 1, most).unwrap_err(), LogError::Covers { covers: MAX_ENTRY_SCOPES + 1 });
     let spoilt = LogError::Unreadable { key: HEAD.into() };
     assert_eq!(append(Some(b""), 1, vec![PurgeScope::Object(1)]).unwrap_err(), spoilt);
     let last = encode(&Head { number: u64::MAX, when_ms: 5 });
