--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -42,7 +42,7 @@
                 false => changes.keys.iter().map(String::as_str).collect(),
             };
             if all || !keys.is_empty() {
-                log.changed(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
+                log.apply_changes(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
             }
         }
         log.confirmed(now, documents.confirmed(), &mut actions);
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -171,7 +171,7 @@
         if all || !keys.is_empty() {
             let value = |key: &str| driver.get(key).map(|document| document.value.as_slice());
             let entries = keys.into_iter().map(|key| (key, value(key)));
-            self.log.changed(context.now, context.unix_ms, entries, actions);
+            self.log.apply_changes(context.now, context.unix_ms, entries, actions);
         }
     }
 }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -320,7 +320,7 @@
 
     /// Takes entries that have changed, by their keys below [`ENTRIES`]; `None`: removed. At the first call all that
     /// there are. `unix_ms` is the Unix millisecond of `now`.
-    pub fn changed<'a>(
+    pub fn apply_changes<'a>(
         &mut self,
         now: Micros,
         unix_ms: u64,
@@ -361,7 +361,7 @@
         self.last = Some(last);
     }
 
-    /// Says as of which moment the log was known to be current; to be called after [`PurgeLog::changed`], so that what
+    /// Says as of which moment the log was known to be current; to be called after [`PurgeLog::apply_changes`], so that what
     /// came with it is in force before it is vouched for.
     pub fn confirmed(&mut self, now: Micros, confirmed: Option<Micros>, actions: &mut Vec<Action>) {
         // Without a list nothing was read, whatever is confirmed.
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -95,7 +95,7 @@
             .collect();
         let mut actions = Vec::new();
         if !changed.is_empty() || self.log.last.is_none() {
-            self.log.changed(now, unix_ms(now), changed, &mut actions);
+            self.log.apply_changes(now, unix_ms(now), changed, &mut actions);
         }
         self.seen = ring.entries.clone();
         self.log.confirmed(now, Some(now), &mut actions);
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -236,7 +236,7 @@
                 let entry = |key: &String| ring.entries.get(key).cloned();
                 let entries: Vec<_> = keys.iter().map(|key| (key.as_str(), entry(key))).collect();
                 let told = entries.iter().map(|(key, value)| (*key, value.as_deref()));
-                log.changed(now, unix_ms, told, &mut actions);
+                log.apply_changes(now, unix_ms, told, &mut actions);
                 confirmed = Some(now);
             }
             _ => {}
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -267,7 +267,7 @@
     let settings = log::Settings::new(Vec::new(), "/larchdale/purges/");
     let mut followed = log::PurgeLog::new(&settings, 6_000_000, 10_000_000);
     let mut actions = Vec::new();
-    followed.changed(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
+    followed.apply_changes(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
     assert_eq!((followed.number(), followed.figures().unusable), (2, 0));
     let when_ms = NOW_UNIX_MS + settings.skew / 1_000;
     for cover in &covers[..2] {
