--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -45,7 +45,7 @@
                 log.apply_changes(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
             }
         }
-        log.confirmed(now, documents.confirmed(), &mut actions);
+        log.update_confirmation(now, documents.confirmed(), &mut actions);
         // A floor without a cut holds old copies back as well: what is missed is covered by it.
         Shows { revision: documents.revision(), vouched: log.vouches() }
     }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -139,7 +139,7 @@
             confirmed: self.driver.confirmed(),
             phase: self.driver.phase(),
         };
-        self.log.confirmed(context.now, evidence.confirmed, &mut actions);
+        self.log.update_confirmation(context.now, evidence.confirmed, &mut actions);
         if actions.contains(&Action::Say(Notice::CutOff)) {
             self.note_cut_off(&evidence, context.log);
         }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -363,7 +363,7 @@
 
     /// Says as of which moment the log was known to be current; to be called after [`PurgeLog::apply_changes`], so that what
     /// came with it is in force before it is vouched for.
-    pub fn confirmed(&mut self, now: Micros, confirmed: Option<Micros>, actions: &mut Vec<Action>) {
+    pub fn update_confirmation(&mut self, now: Micros, confirmed: Option<Micros>, actions: &mut Vec<Action>) {
         // Without a list nothing was read, whatever is confirmed.
         self.confirmed = self.confirmed.max(confirmed.filter(|_| self.last.is_some()));
         let vouched = self.confirmed.is_some_and(|c| now.saturating_sub(c) <= self.staleness);
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -98,13 +98,13 @@
             self.log.apply_changes(now, unix_ms(now), changed, &mut actions);
         }
         self.seen = ring.entries.clone();
-        self.log.confirmed(now, Some(now), &mut actions);
+        self.log.update_confirmation(now, Some(now), &mut actions);
         self.take(now, actions);
     }
 
     fn confirm(&mut self, now: Micros, at: Option<Micros>) {
         let mut actions = Vec::new();
-        self.log.confirmed(now, at, &mut actions);
+        self.log.update_confirmation(now, at, &mut actions);
         self.take(now, actions);
     }
 
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -241,7 +241,7 @@
             }
             _ => {}
         }
-        log.confirmed(now, confirmed, &mut actions);
+        log.update_confirmation(now, confirmed, &mut actions);
         digest.number(now);
         actions.iter().for_each(|action| write_action(&mut digest, action));
         digest.number(log.number());
