--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -129,7 +129,7 @@
     /// One turn; what follows from it.
     pub fn turn(&mut self, context: &FleetContext) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.log.lingers(propagation_time(context.settings));
+        self.log.set_propagation_time(propagation_time(context.settings));
         if self.driver.revision() > 0 {
             self.take_changes(context, &mut actions);
         }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -274,7 +274,7 @@
     }
 
     /// Other settings say for how long copies linger.
-    pub fn lingers(&mut self, lingers: Micros) {
+    pub fn set_propagation_time(&mut self, lingers: Micros) {
         self.lingers = lingers;
     }
 
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -222,7 +222,7 @@
             16 => ring.append(unix_ms, Vec::new(), &mut digest),
             17 if rng.random_ratio(1, 5) => ring.spoil(&mut rng),
             18 if rng.random_ratio(1, 5) => drop(ring.changed.pop()),
-            19 if rng.random_ratio(1, 10) => log.lingers(rng.random_range(5..20) * S),
+            19 if rng.random_ratio(1, 10) => log.set_propagation_time(rng.random_range(5..20) * S),
             20 if rng.random_ratio(1, 5) => (now, unix_ms) = (now + 3 * S, unix_ms + 3_000),
             21 if rng.random_ratio(1, 20) => {
                 log = PurgeLog::new(&settings, 12 * S, now);
