--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -47,7 +47,7 @@
         }
         log.update_confirmation(now, documents.confirmed(), &mut actions);
         // A floor without a cut holds old copies back as well: what is missed is covered by it.
-        Shows { revision: documents.revision(), vouched: log.vouches() }
+        Shows { revision: documents.revision(), vouched: log.is_current() }
     }
 
     fn next(&self) -> Micros {
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -89,7 +89,7 @@
 
     /// Whether all purges up to the bound on staleness are known: only then copies of the instance's own are served.
     pub fn vouches(&self) -> bool {
-        self.log.vouches()
+        self.log.is_current()
     }
 
     /// When the bound became tighter last.
@@ -109,7 +109,7 @@
         [
             ("purge_log_number", self.log.number()),
             ("purge_log_age_ms", age / MICROS_PER_MS),
-            ("purge_log_cut_off", u64::from(!self.log.vouches())),
+            ("purge_log_cut_off", u64::from(!self.log.is_current())),
             ("purge_log_entries_total", entries),
             ("purge_log_missed_total", missed),
             ("purge_log_unusable_total", unusable),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -284,7 +284,7 @@
     }
 
     /// Whether what was purged longer ago than the bound on staleness is known.
-    pub fn vouches(&self) -> bool {
+    pub fn is_current(&self) -> bool {
         self.cut_off.is_none()
     }
 
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -125,17 +125,17 @@
 #[test]
 fn a_new_instance_vouches_for_nothing_until_it_has_read_the_log_and_then_for_all_of_it() {
     let (mut ring, mut told) = (Ring::default(), Told::new());
-    assert_eq!((told.bound, told.log.vouches()), (Some(S), false));
+    assert_eq!((told.bound, told.log.is_current()), (Some(S), false));
     told.confirm(T0 + MS, Some(T0));
-    assert!(!told.log.vouches(), "nothing was read, whatever is confirmed");
+    assert!(!told.log.is_current(), "nothing was read, whatever is confirmed");
     ring.purge(T0, 7);
     told.sync(T0 + 10 * MS, &ring);
-    assert_eq!((told.bound, told.log.vouches(), told.log.number()), (None, true, 1));
+    assert_eq!((told.bound, told.log.is_current(), told.log.number()), (None, true, 1));
     assert!(told.accepts(T0 + 10 * MS, 7) >= T0, "a margin for clocks on top");
     assert_eq!(told.accepts(T0 + 10 * MS, 8), 0);
     let mut empty = Told::new();
     empty.sync(T0 + MS, &Ring::default());
-    assert!(empty.log.vouches(), "an empty log says that nothing was purged");
+    assert!(empty.log.is_current(), "an empty log says that nothing was purged");
 }
 
 #[test]
@@ -302,7 +302,7 @@
             told.confirm(now, None);
             prop_assert!(told.log.next() > now, "it asks for no turn at once: that would be a busy loop");
             let current = synced.is_some_and(|at| now <= at + settings().staleness);
-            prop_assert_eq!(told.log.vouches(), current);
+            prop_assert_eq!(told.log.is_current(), current);
             if current && told.log.floor().is_none() {
                 prop_assert_eq!(told.bound, None);
             }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -245,7 +245,7 @@
         digest.number(now);
         actions.iter().for_each(|action| write_action(&mut digest, action));
         digest.number(log.number());
-        digest.flag(log.vouches());
+        digest.flag(log.is_current());
         digest.flag(log.is_bounded());
         digest.option(log.tightened(), Digest::number);
         digest.option(log.floor(), Digest::number);
