--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -94,7 +94,7 @@
 
     /// When the bound became tighter last.
     pub fn tightened(&self) -> Option<Micros> {
-        self.log.tightened()
+        self.log.bound_tightened_at()
     }
 
     /// Copies from before this moment are void.
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -294,7 +294,7 @@
     }
 
     /// When a bound came, or became tighter, last: what was decided before it does not count.
-    pub fn tightened(&self) -> Option<Micros> {
+    pub fn bound_tightened_at(&self) -> Option<Micros> {
         self.tightened
     }
 
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -146,7 +146,7 @@
     told.confirm(T0 + S, None);
     assert_eq!(told.bound, None);
     told.confirm(T0 + S + 1, None);
-    assert_eq!((told.bound, told.log.tightened()), (Some(S), Some(T0 + S + 1)));
+    assert_eq!((told.bound, told.log.bound_tightened_at()), (Some(S), Some(T0 + S + 1)));
     ring.purge(T0 + 2 * S, 7);
     told.sync(T0 + 5 * S, &ring);
     assert_eq!((told.bound, told.log.figures().cut_offs), (None, 1));
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -247,7 +247,7 @@
         digest.number(log.number());
         digest.flag(log.is_current());
         digest.flag(log.is_bounded());
-        digest.option(log.tightened(), Digest::number);
+        digest.option(log.bound_tightened_at(), Digest::number);
         digest.option(log.floor(), Digest::number);
         digest.number(log.next());
         let figures = log.figures();
