--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -99,7 +99,7 @@
 
     /// Copies from before this moment are void.
     pub fn floor(&self) -> Option<Micros> {
-        self.log.floor()
+        self.log.void_before()
     }
 
     /// Names and values for the admin server.
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -299,7 +299,7 @@
     }
 
     /// Copies made before this moment are void, whatever they are of.
-    pub fn floor(&self) -> Option<Micros> {
+    pub fn void_before(&self) -> Option<Micros> {
         self.floor.map(|f| f.0)
     }
 
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -303,7 +303,7 @@
             prop_assert!(told.log.next() > now, "it asks for no turn at once: that would be a busy loop");
             let current = synced.is_some_and(|at| now <= at + settings().staleness);
             prop_assert_eq!(told.log.is_current(), current);
-            if current && told.log.floor().is_none() {
+            if current && told.log.void_before().is_none() {
                 prop_assert_eq!(told.bound, None);
             }
         }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -248,7 +248,7 @@
         digest.flag(log.is_current());
         digest.flag(log.is_bounded());
         digest.option(log.bound_tightened_at(), Digest::number);
-        digest.option(log.floor(), Digest::number);
+        digest.option(log.void_before(), Digest::number);
         digest.number(log.next());
         let figures = log.figures();
         [figures.entries, figures.missed, figures.unusable, figures.cut_offs]
