--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -51,6 +51,6 @@
     }
 
     fn next(&self) -> Micros {
-        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next)
+        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next_deadline)
     }
 }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -79,12 +79,12 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        self.driver.next().min(self.log.next())
+        self.driver.next().min(self.log.next_deadline())
     }
 
     /// Whether what is vouched for changes by now without anything being heard.
     pub fn is_judgement_due(&self, now: Micros) -> bool {
-        self.log.next() <= now
+        self.log.next_deadline() <= now
     }
 
     /// Whether all purges up to the bound on staleness are known: only then copies of the instance's own are served.
@@ -135,7 +135,7 @@
         }
         let evidence = Evidence {
             now: context.now,
-            judgement_due: self.log.next(),
+            judgement_due: self.log.next_deadline(),
             confirmed: self.driver.confirmed(),
             phase: self.driver.phase(),
         };
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -309,7 +309,7 @@
     }
 
     /// When the bound changes without anything being heard.
-    pub fn next(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let cut = match (self.cut_off, self.confirmed) {
             (None, Some(confirmed)) => confirmed.saturating_add(self.staleness).saturating_add(1),
             _ => Micros::MAX,
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -142,7 +142,7 @@
 fn silence_alone_makes_it_strict_at_the_bound_and_a_word_lifts_that_after_what_was_missed_is_in_force() {
     let (mut ring, mut told) = (Ring::default(), Told::new());
     told.sync(T0, &ring);
-    assert_eq!(told.log.next(), T0 + S + 1, "it knows by itself when it is cut off");
+    assert_eq!(told.log.next_deadline(), T0 + S + 1, "it knows by itself when it is cut off");
     told.confirm(T0 + S, None);
     assert_eq!(told.bound, None);
     told.confirm(T0 + S + 1, None);
@@ -287,7 +287,7 @@
                     // The owner comes back when the log asked for it.
                     let until = now + span;
                     while now < until {
-                        now = told.log.next().clamp(now + 1, until);
+                        now = told.log.next_deadline().clamp(now + 1, until);
                         told.confirm(now, None);
                         prop_assert_eq!(told.lax(now, &ring), None);
                     }
@@ -300,7 +300,7 @@
             }
             prop_assert_eq!(told.lax(now, &ring), None);
             told.confirm(now, None);
-            prop_assert!(told.log.next() > now, "it asks for no turn at once: that would be a busy loop");
+            prop_assert!(told.log.next_deadline() > now, "it asks for no turn at once: that would be a busy loop");
             let current = synced.is_some_and(|at| now <= at + settings().staleness);
             prop_assert_eq!(told.log.is_current(), current);
             if current && told.log.void_before().is_none() {
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -249,7 +249,7 @@
         digest.flag(log.is_bounded());
         digest.option(log.bound_tightened_at(), Digest::number);
         digest.option(log.void_before(), Digest::number);
-        digest.number(log.next());
+        digest.number(log.next_deadline());
         let figures = log.figures();
         [figures.entries, figures.missed, figures.unusable, figures.cut_offs]
             .into_iter()
