--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -107,7 +107,7 @@
         let Figures { entries, missed, unusable, cut_offs } = self.log.figures();
         let age = self.driver.confirmed().map_or(now, |confirmed| now.saturating_sub(confirmed));
         [
-            ("purge_log_number", self.log.number()),
+            ("purge_log_number", self.log.last_number()),
             ("purge_log_age_ms", age / MICROS_PER_MS),
             ("purge_log_cut_off", u64::from(!self.log.is_current())),
             ("purge_log_entries_total", entries),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -279,7 +279,7 @@
     }
 
     /// The last number known; 0: none.
-    pub fn number(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.last.map_or(0, |l| l.number)
     }
 
@@ -418,7 +418,7 @@
 
     /// What was known is written anew. Whatever it says now, copies from before now are void.
     fn went_back(&mut self, now: Micros, there: u64, when_ms: u64, actions: &mut Vec<Action>) {
-        let known = self.number();
+        let known = self.last_number();
         self.raise_floor(now, now.saturating_add(self.skew));
         self.last = Some(Head { number: there, when_ms });
         actions.extend([Action::VoidOwn, Action::Say(Notice::WentBack { known, there })]);
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -130,7 +130,7 @@
     assert!(!told.log.is_current(), "nothing was read, whatever is confirmed");
     ring.purge(T0, 7);
     told.sync(T0 + 10 * MS, &ring);
-    assert_eq!((told.bound, told.log.is_current(), told.log.number()), (None, true, 1));
+    assert_eq!((told.bound, told.log.is_current(), told.log.last_number()), (None, true, 1));
     assert!(told.accepts(T0 + 10 * MS, 7) >= T0, "a margin for clocks on top");
     assert_eq!(told.accepts(T0 + 10 * MS, 8), 0);
     let mut empty = Told::new();
@@ -184,7 +184,7 @@
     let (mut ring, mut told) = (Ring::default(), Told::new());
     (0..3 * SLOTS).for_each(|n| drop(ring.purge(T0, n)));
     told.sync(T0 + LINGERS + S, &ring);
-    assert_eq!((told.bound, told.purged.len(), told.log.number()), (None, 0, 3 * SLOTS));
+    assert_eq!((told.bound, told.purged.len(), told.log.last_number()), (None, 0, 3 * SLOTS));
     // Where it does not reach back far enough, what it lost may still linger.
     let mut told = Told::new();
     told.sync(T0 + S, &ring);
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -244,7 +244,7 @@
         log.update_confirmation(now, confirmed, &mut actions);
         digest.number(now);
         actions.iter().for_each(|action| write_action(&mut digest, action));
-        digest.number(log.number());
+        digest.number(log.last_number());
         digest.flag(log.is_current());
         digest.flag(log.is_bounded());
         digest.option(log.bound_tightened_at(), Digest::number);
@@ -256,7 +256,7 @@
             .for_each(|figure| digest.number(figure));
     }
     let figures = log.figures();
-    assert!(figures.entries + log.number() > 30 && Head::default().number == 0, "too calm: {figures:?}");
+    assert!(figures.entries + log.last_number() > 30 && Head::default().number == 0, "too calm: {figures:?}");
     digest.finish()
 }
 
