--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -104,7 +104,7 @@
 
     /// Names and values for the admin server.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 11] {
-        let Figures { entries, missed, unusable, cut_offs } = self.log.figures();
+        let Figures { entries, missed, unusable, cut_offs } = self.log.counters();
         let age = self.driver.confirmed().map_or(now, |confirmed| now.saturating_sub(confirmed));
         [
             ("purge_log_number", self.log.last_number()),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -304,7 +304,7 @@
     }
 
     /// What has been counted.
-    pub fn figures(&self) -> Figures {
+    pub fn counters(&self) -> Figures {
         self.figures
     }
 
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -149,7 +149,7 @@
     assert_eq!((told.bound, told.log.bound_tightened_at()), (Some(S), Some(T0 + S + 1)));
     ring.purge(T0 + 2 * S, 7);
     told.sync(T0 + 5 * S, &ring);
-    assert_eq!((told.bound, told.log.figures().cut_offs), (None, 1));
+    assert_eq!((told.bound, told.log.counters().cut_offs), (None, 1));
     assert!(told.accepts(T0 + 5 * S, 7) >= T0 + 2 * S);
     let vouched = Notice::Vouched { after: 4 * S - 1 };
     assert_eq!(told.said, [Notice::Vouched { after: 0 }, Notice::CutOff, vouched]);
@@ -170,7 +170,7 @@
         if void {
             assert!(told.accepts(now, 0) >= began && told.accepts(now, u64::MAX) >= began);
         }
-        assert_eq!(told.log.figures().missed, 5);
+        assert_eq!(told.log.counters().missed, 5);
         // The bound follows the floor, looser with time, and ends once nothing that old is left.
         told.confirm(now + 2 * S, Some(now + 2 * S));
         assert!(told.bound.is_none_or(|b| b >= 2 * S));
@@ -317,6 +317,6 @@
         told.sync(T0, &Ring::default());
         let ring = Ring { entries: [(key, bytes)].into(), ..Ring::default() };
         told.sync(T0 + S, &ring);
-        prop_assert!(told.log.figures().entries == 1 || told.bound.is_some());
+        prop_assert!(told.log.counters().entries == 1 || told.bound.is_some());
     }
 }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -250,12 +250,12 @@
         digest.option(log.bound_tightened_at(), Digest::number);
         digest.option(log.void_before(), Digest::number);
         digest.number(log.next_deadline());
-        let figures = log.figures();
+        let figures = log.counters();
         [figures.entries, figures.missed, figures.unusable, figures.cut_offs]
             .into_iter()
             .for_each(|figure| digest.number(figure));
     }
-    let figures = log.figures();
+    let figures = log.counters();
     assert!(figures.entries + log.last_number() > 30 && Head::default().number == 0, "too calm: {figures:?}");
     digest.finish()
 }
