--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -9,7 +9,7 @@
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::net::protocol::command_channel::{Command, Purge};
 use crate::purges::cut_off::{Cause, CauseCounts, Evidence};
-use crate::purges::log::{Action, Figures, Notice, PurgeLog, Settings, ENTRIES, SLOTS};
+use crate::purges::log::{Action, Counters, Notice, PurgeLog, Settings, ENTRIES, SLOTS};
 use crate::purges::PurgeScope;
 use crate::registry::documents::driver::DocumentsDriver;
 use crate::registry::documents::{FollowPhase, Settings as RegistrySettings};
@@ -104,7 +104,7 @@
 
     /// Names and values for the admin server.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 11] {
-        let Figures { entries, missed, unusable, cut_offs } = self.log.counters();
+        let Counters { entries, missed, unusable, cut_offs } = self.log.counters();
         let age = self.driver.confirmed().map_or(now, |confirmed| now.saturating_sub(confirmed));
         [
             ("purge_log_number", self.log.last_number()),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -222,7 +222,7 @@
 
 /// What is counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Counters {
     /// Entries put in force.
     pub entries: u64,
     /// Numbers that never came.
@@ -251,7 +251,7 @@
     /// When the bound was last looked at.
     looked: Micros,
     tightened: Option<Micros>,
-    figures: Figures,
+    figures: Counters,
 }
 
 impl PurgeLog {
@@ -269,7 +269,7 @@
             bound: None,
             looked: now,
             tightened: None,
-            figures: Figures::default(),
+            figures: Counters::default(),
         }
     }
 
@@ -304,7 +304,7 @@
     }
 
     /// What has been counted.
-    pub fn counters(&self) -> Figures {
+    pub fn counters(&self) -> Counters {
         self.figures
     }
 
