--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -140,7 +140,7 @@
             phase: self.driver.phase(),
         };
         self.log.update_confirmation(context.now, evidence.confirmed, &mut actions);
-        if actions.contains(&Action::Say(Notice::CutOff)) {
+        if actions.contains(&Action::Notify(Notice::CutOff)) {
             self.note_cut_off(&evidence, context.log);
         }
         actions
@@ -189,7 +189,7 @@
             Action::Purge(..) => invariant!(false, "a purge of the log is of an object or a group"),
             Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
             Action::VoidOwn => self.local_cache.clear(),
-            Action::Say(notice) => self.log_purge_log_notice(notice),
+            Action::Notify(notice) => self.log_purge_log_notice(notice),
         }
     }
 
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -187,7 +187,7 @@
     /// Copies that the instance keeps itself are void: purges may have been missed since they were made.
     VoidOwn,
     /// Tell the operators.
-    Say(Notice),
+    Notify(Notice),
 }
 
 /// What operators are told.
@@ -370,12 +370,12 @@
         match (vouched, self.cut_off) {
             (true, Some(since)) => {
                 self.cut_off = None;
-                actions.push(Action::Say(Notice::Vouched { after: now.saturating_sub(since) }));
+                actions.push(Action::Notify(Notice::Vouched { after: now.saturating_sub(since) }));
             }
             (false, None) => {
                 self.cut_off = Some(now);
                 self.figures.cut_offs += 1;
-                actions.push(Action::Say(Notice::CutOff));
+                actions.push(Action::Notify(Notice::CutOff));
             }
             _ => {}
         }
@@ -413,7 +413,7 @@
     fn unusable(&mut self, now: Micros, why: LogError, actions: &mut Vec<Action>) {
         self.figures.unusable += 1;
         self.raise_floor(now, now.saturating_add(self.skew));
-        actions.extend([Action::VoidOwn, Action::Say(Notice::Unusable(why))]);
+        actions.extend([Action::VoidOwn, Action::Notify(Notice::Unusable(why))]);
     }
 
     /// What was known is written anew. Whatever it says now, copies from before now are void.
@@ -421,7 +421,7 @@
         let known = self.last_number();
         self.raise_floor(now, now.saturating_add(self.skew));
         self.last = Some(Head { number: there, when_ms });
-        actions.extend([Action::VoidOwn, Action::Say(Notice::WentBack { known, there })]);
+        actions.extend([Action::VoidOwn, Action::Notify(Notice::WentBack { known, there })]);
     }
 
     /// Numbers from `from` on never came; the log goes on with that one and its moment. No missed purge is later.
@@ -444,7 +444,7 @@
         if void || !first {
             let to = goes_on.0 - 1;
             self.figures.missed += to - from + 1;
-            actions.push(Action::Say(Notice::Missed { from, to, void }));
+            actions.push(Action::Notify(Notice::Missed { from, to, void }));
         }
     }
 
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -141,23 +141,23 @@
             digest.option(*age, Digest::number);
         }
         Action::VoidOwn => digest.tag(3),
-        Action::Say(Notice::CutOff) => digest.tag(4),
-        Action::Say(Notice::Vouched { after }) => {
+        Action::Notify(Notice::CutOff) => digest.tag(4),
+        Action::Notify(Notice::Vouched { after }) => {
             digest.tag(5);
             digest.number(*after);
         }
-        Action::Say(Notice::Missed { from, to, void }) => {
+        Action::Notify(Notice::Missed { from, to, void }) => {
             digest.tag(6);
             digest.number(*from);
             digest.number(*to);
             digest.flag(*void);
         }
-        Action::Say(Notice::WentBack { known, there }) => {
+        Action::Notify(Notice::WentBack { known, there }) => {
             digest.tag(7);
             digest.number(*known);
             digest.number(*there);
         }
-        Action::Say(Notice::Unusable(error)) => {
+        Action::Notify(Notice::Unusable(error)) => {
             digest.tag(8);
             write_error(digest, error);
         }
