--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -188,7 +188,7 @@
             }
             Action::Purge(..) => invariant!(false, "a purge of the log is of an object or a group"),
             Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
-            Action::VoidOwn => self.local_cache.clear(),
+            Action::ClearLocalCache => self.local_cache.clear(),
             Action::Notify(notice) => self.log_purge_log_notice(notice),
         }
     }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -185,7 +185,7 @@
     /// No copy older than this is accepted; `None`: what was purged is known.
     Bound(Option<Micros>),
     /// Copies that the instance keeps itself are void: purges may have been missed since they were made.
-    VoidOwn,
+    ClearLocalCache,
     /// Tell the operators.
     Notify(Notice),
 }
@@ -413,7 +413,7 @@
     fn unusable(&mut self, now: Micros, why: LogError, actions: &mut Vec<Action>) {
         self.figures.unusable += 1;
         self.raise_floor(now, now.saturating_add(self.skew));
-        actions.extend([Action::VoidOwn, Action::Notify(Notice::Unusable(why))]);
+        actions.extend([Action::ClearLocalCache, Action::Notify(Notice::Unusable(why))]);
     }
 
     /// What was known is written anew. Whatever it says now, copies from before now are void.
@@ -421,7 +421,7 @@
         let known = self.last_number();
         self.raise_floor(now, now.saturating_add(self.skew));
         self.last = Some(Head { number: there, when_ms });
-        actions.extend([Action::VoidOwn, Action::Notify(Notice::WentBack { known, there })]);
+        actions.extend([Action::ClearLocalCache, Action::Notify(Notice::WentBack { known, there })]);
     }
 
     /// Numbers from `from` on never came; the log goes on with that one and its moment. No missed purge is later.
@@ -439,7 +439,7 @@
         if void {
             self.raise_floor(now, now.saturating_sub(age));
         }
-        actions.push(Action::VoidOwn);
+        actions.push(Action::ClearLocalCache);
         // An instance that has just begun missed nothing where the ring reaches back far enough.
         if void || !first {
             let to = goes_on.0 - 1;
@@ -469,7 +469,7 @@
                 // Which objects these are is not known here: unknown is strict.
                 PurgeScope::Tag(_) | PurgeScope::Pattern(_) => {
                     self.raise_floor(now, now.saturating_sub(age));
-                    actions.push(Action::VoidOwn);
+                    actions.push(Action::ClearLocalCache);
                 }
             }
         }
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -79,7 +79,7 @@
                 }
                 Action::Purge(..) => panic!("only objects are purged here"),
                 Action::Bound(bound) => self.bound = bound,
-                Action::VoidOwn => self.own_voided += 1,
+                Action::ClearLocalCache => self.own_voided += 1,
                 Action::Notify(notice) => self.said.push(notice),
             }
         }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -140,7 +140,7 @@
             digest.tag(2);
             digest.option(*age, Digest::number);
         }
-        Action::VoidOwn => digest.tag(3),
+        Action::ClearLocalCache => digest.tag(3),
         Action::Notify(Notice::CutOff) => digest.tag(4),
         Action::Notify(Notice::Vouched { after }) => {
             digest.tag(5);
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -274,7 +274,7 @@
         assert!(actions.contains(&log::Action::Purge(cover.clone(), when_ms)), "{actions:?}");
     }
     // Tag and pattern can't be resolved by an instance: each voids its own copies, beside the number that is missing.
-    assert_eq!(actions.iter().filter(|a| **a == log::Action::VoidOwn).count(), 3);
+    assert_eq!(actions.iter().filter(|a| **a == log::Action::ClearLocalCache).count(), 3);
 }
 
 // ---- one process after another ----
