--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -187,7 +187,7 @@
                 self.execute(Command::Purge { what: Purge::Group(group), when_ms });
             }
             Action::Purge(..) => invariant!(false, "a purge of the log is of an object or a group"),
-            Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
+            Action::SetStalenessBound(age) => self.events.push_back(Event::BoundedStaleness(age)),
             Action::ClearLocalCache => self.local_cache.clear(),
             Action::Notify(notice) => self.log_purge_log_notice(notice),
         }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -183,7 +183,7 @@
     /// Copies of this made before a Unix millisecond are void. Objects and groups only.
     Purge(PurgeScope, u64),
     /// No copy older than this is accepted; `None`: what was purged is known.
-    Bound(Option<Micros>),
+    SetStalenessBound(Option<Micros>),
     /// Copies that the instance keeps itself are void: purges may have been missed since they were made.
     ClearLocalCache,
     /// Tell the operators.
@@ -395,7 +395,7 @@
             self.tightened = Some(now);
         }
         self.bound = bound.map(|b| (b, now));
-        actions.push(Action::Bound(bound));
+        actions.push(Action::SetStalenessBound(bound));
     }
 
     /// How long ago a Unix millisecond was, at the least that the clocks allow.
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -78,7 +78,7 @@
                     *at = (*at).max(now - age);
                 }
                 Action::Purge(..) => panic!("only objects are purged here"),
-                Action::Bound(bound) => self.bound = bound,
+                Action::SetStalenessBound(bound) => self.bound = bound,
                 Action::ClearLocalCache => self.own_voided += 1,
                 Action::Notify(notice) => self.said.push(notice),
             }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -136,7 +136,7 @@
             write_cover(digest, cover);
             digest.number(*unix_ms);
         }
-        Action::Bound(age) => {
+        Action::SetStalenessBound(age) => {
             digest.tag(2);
             digest.option(*age, Digest::number);
         }
