--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -200,7 +200,7 @@
                 warn!(log, "purge log cut off: copies must be no older than the bound";
                       "remedy" => "it is dialed again; see whether the endpoints of purge_log() are reached from here");
             }
-            Notice::Vouched { after } => info!(log, "purge log current"; "after_ms" => after / MICROS_PER_MS),
+            Notice::Current { after } => info!(log, "purge log current"; "after_ms" => after / MICROS_PER_MS),
             Notice::Missed { from, to, void } => {
                 warn!(log, "purge log entries overwritten before they were read";
                       "from" => from, "to" => to, "all_void" => void,
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -196,7 +196,7 @@
     /// The log was not confirmed for too long, or not at all yet.
     CutOff,
     /// It is again, after so long.
-    Vouched {
+    Current {
         /// How long it was not.
         after: Micros,
     },
@@ -370,7 +370,7 @@
         match (vouched, self.cut_off) {
             (true, Some(since)) => {
                 self.cut_off = None;
-                actions.push(Action::Notify(Notice::Vouched { after: now.saturating_sub(since) }));
+                actions.push(Action::Notify(Notice::Current { after: now.saturating_sub(since) }));
             }
             (false, None) => {
                 self.cut_off = Some(now);
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -151,8 +151,8 @@
     told.sync(T0 + 5 * S, &ring);
     assert_eq!((told.bound, told.log.counters().cut_offs), (None, 1));
     assert!(told.accepts(T0 + 5 * S, 7) >= T0 + 2 * S);
-    let vouched = Notice::Vouched { after: 4 * S - 1 };
-    assert_eq!(told.said, [Notice::Vouched { after: 0 }, Notice::CutOff, vouched]);
+    let vouched = Notice::Current { after: 4 * S - 1 };
+    assert_eq!(told.said, [Notice::Current { after: 0 }, Notice::CutOff, vouched]);
 }
 
 #[test]
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -142,7 +142,7 @@
         }
         Action::ClearLocalCache => digest.tag(3),
         Action::Notify(Notice::CutOff) => digest.tag(4),
-        Action::Notify(Notice::Vouched { after }) => {
+        Action::Notify(Notice::Current { after }) => {
             digest.tag(5);
             digest.number(*after);
         }
