--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -74,7 +74,7 @@
     let appended = Client::connect(&target.endpoints, max_message_bytes)
         .and_then(|mut client| append_entry(&mut client, &target.prefix, &covers));
     exit_code(appended.map(|Appended { number, revision }| {
-        let within_ms = settings_or_usual.staleness / 1000;
+        let within_ms = settings_or_usual.max_staleness / 1000;
         println!("purge {number} is in the log at revision {revision}; it is in force at every doorman within {within_ms} ms");
     }))
 }
--- a/src/config/product/fleet_calls.rs
+++ b/src/config/product/fleet_calls.rs
@@ -128,19 +128,19 @@
     let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
     let prefix = arguments.text("prefix", parse_prefix)?;
     let mut settings = purges::log::Settings::new(Vec::new(), "");
-    ms(&mut arguments, "staleness_ms", 100, 60_000, &mut settings.staleness)?;
+    ms(&mut arguments, "staleness_ms", 100, 60_000, &mut settings.max_staleness)?;
     ms(&mut arguments, "skew_ms", 0, 10_000, &mut settings.skew)?;
     ms(&mut arguments, "check_ms", 20, 30_000, &mut settings.check)?;
     ms(&mut arguments, "silence_ms", 20, 30_000, &mut settings.silence)?;
     arguments.finish()?;
     settings.endpoints = Arguments::required("purge_log", "endpoints", endpoints)?;
     settings.prefix = Arguments::required("purge_log", "prefix", prefix)?;
-    if settings.check + settings.silence >= settings.staleness {
+    if settings.check + settings.silence >= settings.max_staleness {
         return Err(CallError::whole(
             format!(
                 "purge_log(): check_ms and silence_ms ({} together) are not below staleness_ms ({})",
                 (settings.check + settings.silence) / MICROS_PER_MS,
-                settings.staleness / MICROS_PER_MS
+                settings.max_staleness / MICROS_PER_MS
             ),
             "one endpoint that falls silent would cut the instance off; lower them, or raise staleness_ms",
         ));
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -48,7 +48,7 @@
         let log = context.log.new(o!("of" => "purge log"));
         let driver = DocumentsDriver::following(settings.endpoints.clone(), registry, seed, context.now, log);
         info!(context.log, "purge log enabled"; "prefix" => &settings.prefix,
-              "staleness_ms" => settings.staleness / MICROS_PER_MS);
+              "staleness_ms" => settings.max_staleness / MICROS_PER_MS);
         let log = PurgeLog::new(settings, propagation_time(context.settings), context.now);
         PurgeLogFollower {
             settings: settings.clone(),
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -47,7 +47,7 @@
     /// Below it the log is kept.
     pub prefix: String,
     /// The bound on staleness: what was purged longer ago is in force, known or not.
-    pub staleness: Micros,
+    pub max_staleness: Micros,
     /// How far the issuers' clocks and the instances' may differ.
     pub skew: Micros,
     /// Between two checks that the log is current.
@@ -62,7 +62,7 @@
         Settings {
             endpoints,
             prefix: prefix.to_owned(),
-            staleness: 1_000 * MS,
+            max_staleness: 1_000 * MS,
             skew: 250 * MS,
             check: 250 * MS,
             silence: 400 * MS,
@@ -259,7 +259,7 @@
     /// somewhere.
     pub fn new(settings: &Settings, lingers: Micros, now: Micros) -> Self {
         PurgeLog {
-            staleness: settings.staleness,
+            staleness: settings.max_staleness,
             skew: settings.skew,
             lingers,
             last: None,
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -116,7 +116,8 @@
 
     /// Whether any purge that has to be in force is not.
     fn lax(&self, now: Micros, ring: &Ring) -> Option<(Micros, u64, u64)> {
-        let binds = |c: &&(Micros, u64, u64)| now >= c.0 + settings().staleness + MS && now < c.0 + LINGERS;
+        let binds =
+            |c: &&(Micros, u64, u64)| now >= c.0 + settings().max_staleness + MS && now < c.0 + LINGERS;
         let due = ring.committed.iter().filter(binds);
         due.copied().find(|c| self.accepts(now, c.1) < T0 + (c.2 - UNIX) * MS)
     }
@@ -301,7 +302,7 @@
             prop_assert_eq!(told.lax(now, &ring), None);
             told.confirm(now, None);
             prop_assert!(told.log.next_deadline() > now, "it asks for no turn at once: that would be a busy loop");
-            let current = synced.is_some_and(|at| now <= at + settings().staleness);
+            let current = synced.is_some_and(|at| now <= at + settings().max_staleness);
             prop_assert_eq!(told.log.is_current(), current);
             if current && told.log.void_before().is_none() {
                 prop_assert_eq!(told.bound, None);
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -209,7 +209,7 @@
         purge_log: Some(purges::log::Settings {
             endpoints: endpoints(2_381),
             prefix: "/larchdale/purges/".to_owned(),
-            staleness: 1_001_000,
+            max_staleness: 1_001_000,
             skew: 251_000,
             check: 252_000,
             silence: 401_000,
