--- a/src/config/product/fleet_calls.rs
+++ b/src/config/product/fleet_calls.rs
@@ -129,7 +129,7 @@
     let prefix = arguments.text("prefix", parse_prefix)?;
     let mut settings = purges::log::Settings::new(Vec::new(), "");
     ms(&mut arguments, "staleness_ms", 100, 60_000, &mut settings.max_staleness)?;
-    ms(&mut arguments, "skew_ms", 0, 10_000, &mut settings.skew)?;
+    ms(&mut arguments, "skew_ms", 0, 10_000, &mut settings.max_clock_skew)?;
     ms(&mut arguments, "check_ms", 20, 30_000, &mut settings.check)?;
     ms(&mut arguments, "silence_ms", 20, 30_000, &mut settings.silence)?;
     arguments.finish()?;
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -49,7 +49,7 @@
     /// The bound on staleness: what was purged longer ago is in force, known or not.
     pub max_staleness: Micros,
     /// How far the issuers' clocks and the instances' may differ.
-    pub skew: Micros,
+    pub max_clock_skew: Micros,
     /// Between two checks that the log is current.
     pub check: Micros,
     /// A check takes no longer, else another endpoint is tried.
@@ -63,7 +63,7 @@
             endpoints,
             prefix: prefix.to_owned(),
             max_staleness: 1_000 * MS,
-            skew: 250 * MS,
+            max_clock_skew: 250 * MS,
             check: 250 * MS,
             silence: 400 * MS,
         }
@@ -260,7 +260,7 @@
     pub fn new(settings: &Settings, lingers: Micros, now: Micros) -> Self {
         PurgeLog {
             staleness: settings.max_staleness,
-            skew: settings.skew,
+            skew: settings.max_clock_skew,
             lingers,
             last: None,
             floor: None,
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -210,7 +210,7 @@
             endpoints: endpoints(2_381),
             prefix: "/larchdale/purges/".to_owned(),
             max_staleness: 1_001_000,
-            skew: 251_000,
+            max_clock_skew: 251_000,
             check: 252_000,
             silence: 401_000,
         }),
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -269,7 +269,7 @@
     let mut actions = Vec::new();
     followed.apply_changes(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
     assert_eq!((followed.last_number(), followed.counters().unusable), (2, 0));
-    let when_ms = NOW_UNIX_MS + settings.skew / 1_000;
+    let when_ms = NOW_UNIX_MS + settings.max_clock_skew / 1_000;
     for cover in &covers[..2] {
         assert!(actions.contains(&log::Action::Purge(cover.clone(), when_ms)), "{actions:?}");
     }
