--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -43,7 +43,12 @@
         let registry = RegistrySettings {
             most_keys: 2 * SLOTS as usize,
             most_bytes: MAX_ENTRY_BYTES,
-            ..RegistrySettings::prompt(settings.endpoints.len(), &prefix, settings.check, settings.silence)
+            ..RegistrySettings::prompt(
+                settings.endpoints.len(),
+                &prefix,
+                settings.check_interval,
+                settings.silence,
+            )
         };
         let log = context.log.new(o!("of" => "purge log"));
         let driver = DocumentsDriver::following(settings.endpoints.clone(), registry, seed, context.now, log);
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -51,7 +51,7 @@
     /// How far the issuers' clocks and the instances' may differ.
     pub max_clock_skew: Micros,
     /// Between two checks that the log is current.
-    pub check: Micros,
+    pub check_interval: Micros,
     /// A check takes no longer, else another endpoint is tried.
     pub silence: Micros,
 }
@@ -64,7 +64,7 @@
             prefix: prefix.to_owned(),
             max_staleness: 1_000 * MS,
             max_clock_skew: 250 * MS,
-            check: 250 * MS,
+            check_interval: 250 * MS,
             silence: 400 * MS,
         }
     }
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -211,7 +211,7 @@
             prefix: "/larchdale/purges/".to_owned(),
             max_staleness: 1_001_000,
             max_clock_skew: 251_000,
-            check: 252_000,
+            check_interval: 252_000,
             silence: 401_000,
         }),
         growth: Some(growth::Settings {
