--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -333,7 +333,7 @@
                 self.machines.len(),
                 &format!("{PREFIX}{ENTRIES}"),
                 log.check_interval,
-                log.silence,
+                log.check_timeout,
             )
         };
         let usual = || Settings {
--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -92,6 +92,6 @@
         "staleness_ms": settings.max_staleness / MICROS_PER_MS,
         "skew_ms": settings.max_clock_skew / MICROS_PER_MS,
         "check_ms": settings.check_interval / MICROS_PER_MS,
-        "silence_ms": settings.silence / MICROS_PER_MS,
+        "silence_ms": settings.check_timeout / MICROS_PER_MS,
     })
 }
--- a/src/config/product/fleet_calls.rs
+++ b/src/config/product/fleet_calls.rs
@@ -131,15 +131,15 @@
     ms(&mut arguments, "staleness_ms", 100, 60_000, &mut settings.max_staleness)?;
     ms(&mut arguments, "skew_ms", 0, 10_000, &mut settings.max_clock_skew)?;
     ms(&mut arguments, "check_ms", 20, 30_000, &mut settings.check_interval)?;
-    ms(&mut arguments, "silence_ms", 20, 30_000, &mut settings.silence)?;
+    ms(&mut arguments, "silence_ms", 20, 30_000, &mut settings.check_timeout)?;
     arguments.finish()?;
     settings.endpoints = Arguments::required("purge_log", "endpoints", endpoints)?;
     settings.prefix = Arguments::required("purge_log", "prefix", prefix)?;
-    if settings.check_interval + settings.silence >= settings.max_staleness {
+    if settings.check_interval + settings.check_timeout >= settings.max_staleness {
         return Err(CallError::whole(
             format!(
                 "purge_log(): check_ms and silence_ms ({} together) are not below staleness_ms ({})",
-                (settings.check_interval + settings.silence) / MICROS_PER_MS,
+                (settings.check_interval + settings.check_timeout) / MICROS_PER_MS,
                 settings.max_staleness / MICROS_PER_MS
             ),
             "one endpoint that falls silent would cut the instance off; lower them, or raise staleness_ms",
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -47,7 +47,7 @@
                 settings.endpoints.len(),
                 &prefix,
                 settings.check_interval,
-                settings.silence,
+                settings.check_timeout,
             )
         };
         let log = context.log.new(o!("of" => "purge log"));
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -53,7 +53,7 @@
     /// Between two checks that the log is current.
     pub check_interval: Micros,
     /// A check takes no longer, else another endpoint is tried.
-    pub silence: Micros,
+    pub check_timeout: Micros,
 }
 
 impl Settings {
@@ -65,7 +65,7 @@
             max_staleness: 1_000 * MS,
             max_clock_skew: 250 * MS,
             check_interval: 250 * MS,
-            silence: 400 * MS,
+            check_timeout: 400 * MS,
         }
     }
 }
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -212,7 +212,7 @@
             max_staleness: 1_001_000,
             max_clock_skew: 251_000,
             check_interval: 252_000,
-            silence: 401_000,
+            check_timeout: 401_000,
         }),
         growth: Some(growth::Settings {
             bucket: 3_600_001_000,
