--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -211,7 +211,7 @@
                       "from" => from, "to" => to, "all_void" => void,
                       "remedy" => "where all_void is true purges come faster than the ring holds: put several into one entry");
             }
-            Notice::WentBack { known, there } => {
+            Notice::Rewritten { known, written: there } => {
                 warn!(log, "purge log went back, all copies are void"; "known" => known, "there" => there,
                       "remedy" => "see who wrote there; begin a log anew only below another prefix");
             }
--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -210,11 +210,11 @@
         void: bool,
     },
     /// Numbers that were known are written anew: the log was begun again, or somebody else writes there.
-    WentBack {
+    Rewritten {
         /// The last number known.
         known: u64,
         /// The last number written now.
-        there: u64,
+        written: u64,
     },
     /// Something in it can't be used.
     Unusable(LogError),
@@ -421,7 +421,8 @@
         let known = self.last_number();
         self.raise_floor(now, now.saturating_add(self.skew));
         self.last = Some(Head { number: there, when_ms });
-        actions.extend([Action::ClearLocalCache, Action::Notify(Notice::WentBack { known, there })]);
+        actions
+            .extend([Action::ClearLocalCache, Action::Notify(Notice::Rewritten { known, written: there })]);
     }
 
     /// Numbers from `from` on never came; the log goes on with that one and its moment. No missed purge is later.
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -152,7 +152,7 @@
             digest.number(*to);
             digest.flag(*void);
         }
-        Action::Notify(Notice::WentBack { known, there }) => {
+        Action::Notify(Notice::Rewritten { known, written: there }) => {
             digest.tag(7);
             digest.number(*known);
             digest.number(*there);
