--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -119,7 +119,7 @@
             ("purge_log_missed_total", missed),
             ("purge_log_unusable_total", unusable),
             ("purge_log_cut_offs_total", cut_offs),
-            ("purge_log_cut_offs_late_turn_total", self.cut_off_causes.get(Cause::LateTurn)),
+            ("purge_log_cut_offs_late_turn_total", self.cut_off_causes.get(Cause::InstanceStalled)),
             ("purge_log_cut_offs_check_unanswered_total", self.cut_off_causes.get(Cause::CheckUnanswered)),
             ("purge_log_cut_offs_disconnected_total", self.cut_off_causes.get(Cause::Disconnected)),
             ("purge_log_cut_offs_confirmed_late_total", self.cut_off_causes.get(Cause::ConfirmedLate)),
--- a/src/purges/cut_off.rs
+++ b/src/purges/cut_off.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// The instance itself did not run when it was due.
-    LateTurn,
+    InstanceStalled,
     /// A check was sent, and the registry has not answered.
     CheckUnanswered,
     /// There is no connection on which the log is followed: it was lost, is dialed, or the list is read anew.
@@ -41,12 +41,12 @@
 impl Cause {
     /// All causes.
     pub const ALL: [Cause; 4] =
-        [Cause::LateTurn, Cause::CheckUnanswered, Cause::Disconnected, Cause::ConfirmedLate];
+        [Cause::InstanceStalled, Cause::CheckUnanswered, Cause::Disconnected, Cause::ConfirmedLate];
 
     /// The cause that the evidence shows.
     pub fn of(evidence: &Evidence) -> Cause {
         if evidence.now.saturating_sub(evidence.judgement_due) > LATE_JUDGEMENT {
-            return Cause::LateTurn;
+            return Cause::InstanceStalled;
         }
         match evidence.phase {
             FollowPhase::Checking { .. } => Cause::CheckUnanswered,
@@ -58,7 +58,7 @@
     /// Its name in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Cause::LateTurn => "late_turn",
+            Cause::InstanceStalled => "late_turn",
             Cause::CheckUnanswered => "check_unanswered",
             Cause::Disconnected => "disconnected",
             Cause::ConfirmedLate => "confirmed_late",
--- a/src/purges/cut_off/tests.rs
+++ b/src/purges/cut_off/tests.rs
@@ -20,7 +20,7 @@
         FollowPhase::Watching,
     ];
     for phase in phases {
-        assert_eq!(Cause::of(&evidence(LATE_JUDGEMENT + 1, phase)), Cause::LateTurn);
+        assert_eq!(Cause::of(&evidence(LATE_JUDGEMENT + 1, phase)), Cause::InstanceStalled);
     }
     let in_time = phases.map(|phase| Cause::of(&evidence(LATE_JUDGEMENT, phase)));
     let lost = Cause::Disconnected;
