--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -140,7 +140,7 @@
         }
         let evidence = Evidence {
             now: context.now,
-            judgement_due: self.log.next_deadline(),
+            staleness_deadline: self.log.next_deadline(),
             confirmed: self.driver.confirmed(),
             phase: self.driver.phase(),
         };
@@ -157,7 +157,7 @@
         self.cut_off_causes.add(cause);
         let age = |moment: Micros| evidence.now.saturating_sub(moment) / MICROS_PER_MS;
         info!(log, "purge log cut-off explained"; "cause" => cause.name(), "registry" => ?evidence.phase,
-        "confirmed_ms_ago" => evidence.confirmed.map(age), "judged_late_ms" => age(evidence.judgement_due),
+        "confirmed_ms_ago" => evidence.confirmed.map(age), "judged_late_ms" => age(evidence.staleness_deadline),
         "check_sent_ms_ago" => match evidence.phase {
             FollowPhase::Checking { sent } => Some(age(sent)),
             _ => None,
--- a/src/purges/cut_off.rs
+++ b/src/purges/cut_off.rs
@@ -18,7 +18,7 @@
     /// The present moment, in microseconds.
     pub now: Micros,
     /// When the log would be confirmed for too long ago, as known before this turn.
-    pub judgement_due: Micros,
+    pub staleness_deadline: Micros,
     /// As of when the log was last confirmed.
     pub confirmed: Option<Micros>,
     /// How far the follower's connection to the registry is.
@@ -45,7 +45,7 @@
 
     /// The cause that the evidence shows.
     pub fn of(evidence: &Evidence) -> Cause {
-        if evidence.now.saturating_sub(evidence.judgement_due) > LATE_JUDGEMENT {
+        if evidence.now.saturating_sub(evidence.staleness_deadline) > LATE_JUDGEMENT {
             return Cause::InstanceStalled;
         }
         match evidence.phase {
