--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -1,21 +1,21 @@
-//! The purge log of the whole fleet, as an instance follows it: one order, kept in a registry, with bounded staleness.
+//! The fleet-wide purge log as an instance follows it: totally ordered, stored in a registry, with bounded staleness.
 //!
-//! A core: no clock, no input, no output. Its owner hands on what the registry's documents say and the moment as of
-//! which they are known to be current; it says which purges are in force and how old a copy may be.
+//! The module does no I/O and reads no clock. Its caller passes in the changed documents of the registry and the time
+//! as of which they are known to be current; the module returns the purges to apply and the maximum age of copies.
 //!
 //! ```text
-//! PREFIX head      the last number, and the moment of its purge
-//! PREFIX log/0007  the entry whose number is 7 modulo SLOTS: a ring, each overwritten by the one SLOTS later
+//! PREFIX head      the last number, and the time of its purge
+//! PREFIX log/0007  the entry whose number is 7 modulo SLOTS: a ring, in which entry n + SLOTS overwrites entry n
 //! ```
 //!
-//! Entries are numbered one by one by the transaction that writes entry and head ([`append`]), and their moments never go
-//! back. What must never happen, and why it can't:
+//! The transaction that writes an entry and the head ([`append`]) assigns consecutive numbers, and times that never
+//! decrease. Invariants, and how they are kept:
 //!
-//! - A purge is passed over. Numbers that never came show by the gap; as long as copies older than one of them may
-//!   linger, every copy from before the gap counts as void. So do entries that can't be read, or that are out of place.
-//! - An instance that is cut off goes on as if nothing were purged. Nothing needs to arrive for it to know: once the
-//!   documents were not confirmed for the bound on staleness, no copy older than that bound is accepted.
-//! - Room without end. The ring holds [`SLOTS`] entries, here only numbers and moments are kept.
+//! - No purge is skipped. A gap in the numbers reveals missed entries; until the purges of the missed entries have
+//!   propagated, every copy from before the gap is void. Unreadable and misplaced entries have the same effect.
+//! - An instance that is cut off does not go on as if nothing were purged. It needs no message to notice: once the
+//!   documents have not been confirmed for the maximum staleness, no copy older than that is accepted.
+//! - Memory is bounded. The ring holds [`SLOTS`] entries, and an instance keeps only numbers and times.
 
 #[cfg(test)]
 mod tests;
@@ -26,38 +26,38 @@
 use std::net::SocketAddr;
 
 const MS: Micros = 1_000;
-/// Entries that the ring holds.
+/// Number of entries in the ring.
 pub const SLOTS: u64 = 1_024;
-/// Below the prefix of a log: its entries.
+/// Key prefix of the entries, below the prefix of the log.
 pub const ENTRIES: &str = "log/";
-/// Below the prefix of a log: its last number.
+/// Key of the head, below the prefix of the log.
 pub const HEAD: &str = "head";
-/// Most things that one entry covers.
+/// Maximum number of scopes in one entry.
 pub const MAX_ENTRY_SCOPES: usize = 1_000;
-/// Format of entries and head.
+/// Format version of entries and head.
 const FORMAT: u8 = 1;
-/// A bound that follows a floor is told anew after so long.
-const STEP: Micros = 250 * MS;
+/// Time between updates of a staleness bound that grows as the time of voided copies recedes, in microseconds.
+const BOUND_UPDATE_INTERVAL: Micros = 250 * MS;
 
-/// How a log is followed. Times in microseconds.
+/// Settings for following a log. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Where the registry's members, or relays of theirs, listen.
+    /// Addresses of the registry's members, or of relays to them.
     pub endpoints: Vec<SocketAddr>,
-    /// Below it the log is kept.
+    /// Key prefix of the log in the registry.
     pub prefix: String,
-    /// The bound on staleness: what was purged longer ago is in force, known or not.
+    /// Bound on staleness: the time after which a purge is in force at every instance, known to it or not.
     pub max_staleness: Micros,
-    /// How far the issuers' clocks and the instances' may differ.
+    /// Maximum difference between the clocks of issuers and instances.
     pub max_clock_skew: Micros,
-    /// Between two checks that the log is current.
+    /// Time between two checks that the log is current.
     pub check_interval: Micros,
-    /// A check takes no longer, else another endpoint is tried.
+    /// Time after which an unanswered check makes the instance try another endpoint.
     pub check_timeout: Micros,
 }
 
 impl Settings {
-    /// The ordinary way.
+    /// Creates the default settings.
     pub fn new(endpoints: Vec<SocketAddr>, prefix: &str) -> Self {
         Settings {
             endpoints,
@@ -73,62 +73,64 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number: from 1 on, none left out.
+    /// Number of the entry; numbers are consecutive, from 1.
     pub number: u64,
-    /// Unix millisecond of the purge: copies made before it are void. No earlier than that of the entry before.
+    /// Time of the purge in Unix milliseconds, not before that of the previous entry; copies made before it are void.
     pub when_ms: u64,
-    /// What it covers.
+    /// The purged scopes.
     pub scopes: Vec<PurgeScope>,
 }
 
-/// The end of the log.
+/// Number and time of the last entry of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The last number; 0: the log is empty.
+    /// Number of the last entry; 0: the log is empty.
     pub number: u64,
-    /// The moment of that entry.
+    /// Time of the last entry in Unix milliseconds.
     pub when_ms: u64,
 }
 
-/// Why something of a log can't be used.
+/// Error in the content of a log, or in a purge to append.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// Cut off, or something else.
-    #[error("'{key}' is no part of a purge log; it counts as a purge of everything. See who wrote it, and let only `larchdale purge` write there")]
+    /// The value is truncated, or is not an entry or a head.
+    #[error("'{key}' is not part of a purge log; it counts as a purge of everything. Find out what wrote it, and let only `larchdale purge` write to the log")]
     Unreadable {
-        /// Its key below the prefix.
+        /// Key below the prefix.
         key: String,
     },
-    /// Written by a later version.
-    #[error("'{key}' has format {format}, and this version reads {FORMAT}; it counts as a purge of everything. Run the same version everywhere")]
+    /// The value has the format of another version.
+    #[error("'{key}' has format {format}, but this version reads format {FORMAT}; it counts as a purge of everything. Run the same version everywhere")]
     Format {
-        /// Its key below the prefix.
+        /// Key below the prefix.
         key: String,
-        /// What was found.
+        /// Format version found.
         format: u8,
     },
-    /// It stands where another number belongs, or its moment goes back.
-    #[error("'{key}' is out of its order ({why}); it counts as a purge of everything. See who wrote it, and let only `larchdale purge` write there")]
+    /// The entry has the key of another number, or its time is before that of the previous entry.
+    #[error("'{key}' is out of order ({why}); it counts as a purge of everything. Find out what wrote it, and let only `larchdale purge` write to the log")]
     OutOfOrder {
-        /// Its key below the prefix.
+        /// Key below the prefix.
         key: String,
-        /// What shows it.
+        /// The violated rule.
         why: &'static str,
     },
-    /// Taken out of the log.
-    #[error("'{key}' was removed; what it said counts as a purge of everything. Entries go by being overwritten: remove none")]
+    /// The entry was removed from the log.
+    #[error("'{key}' was removed; it counts as a purge of everything. Do not remove entries: the log overwrites old ones itself")]
     Removed {
-        /// Its key below the prefix.
+        /// Key below the prefix.
         key: String,
     },
-    /// More than an entry may cover, or nothing.
-    #[error("a purge covers {covers} things; 1 to {MAX_ENTRY_SCOPES} may be. Make several of it")]
-    Covers {
-        /// How many.
-        covers: usize,
+    /// The purge has too many scopes, or none.
+    #[error(
+        "a purge has {scopes} scopes; 1 to {MAX_ENTRY_SCOPES} are allowed. Split it into several purges"
+    )]
+    ScopeCount {
+        /// Number of scopes.
+        scopes: usize,
     },
-    /// The numbers have an end.
-    #[error("the log is full to its last number; begin one below another prefix")]
+    /// The last number has been used.
+    #[error("the log has reached its last number; start a new log below another prefix")]
     Full,
 }
 
@@ -148,178 +150,183 @@
     }
 }
 
-/// The key of an entry, below [`ENTRIES`].
+/// Returns the key of an entry, below [`ENTRIES`].
 pub fn slot(number: u64) -> String {
     format!("{:04}", number % SLOTS)
 }
 
-/// A key below the prefix of a log, with its new value.
+/// Key below the prefix of a log, with its new value.
 pub type Write = (String, Vec<u8>);
 
-/// What appends a purge to a log: the keys below the prefix with their new values, to be written as one transaction if
-/// the head is still as it was read (`None`: not there).
+/// Returns the entry that appends a purge to a log, and its writes: keys below the prefix with their new values, to be
+/// written in one transaction if the head is still as it was read (`None`: it does not exist).
 ///
 /// # Errors
-/// It covers too much or nothing, the head can't be read, or the log is full.
+/// The purge has too many scopes or none, the head is unreadable, or the log has reached its last number.
 pub fn append(
     head: Option<&[u8]>,
     now_ms: u64,
-    covers: Vec<PurgeScope>,
+    scopes: Vec<PurgeScope>,
 ) -> Result<(Entry, [Write; 2]), LogError> {
-    if !(1..=MAX_ENTRY_SCOPES).contains(&covers.len()) {
-        return Err(LogError::Covers { covers: covers.len() });
+    if !(1..=MAX_ENTRY_SCOPES).contains(&scopes.len()) {
+        return Err(LogError::ScopeCount { scopes: scopes.len() });
     }
     let last: Head = head.map(|h| decode(HEAD, h)).transpose()?.unwrap_or_default();
     let number = last.number.checked_add(1).ok_or(LogError::Full)?;
-    let entry = Entry { number, when_ms: now_ms.max(last.when_ms), scopes: covers };
+    let entry = Entry { number, when_ms: now_ms.max(last.when_ms), scopes };
     let head = Head { number, when_ms: entry.when_ms };
     let writes = [(HEAD.to_owned(), encode(&head)), (format!("{ENTRIES}{}", slot(number)), encode(&entry))];
     Ok((entry, writes))
 }
 
-/// What the owner is to do.
+/// Action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Copies of this made before a Unix millisecond are void. Objects and groups only.
+    /// Copies in this scope, an object or a group, that were made before a time in Unix milliseconds are void.
     Purge(PurgeScope, u64),
-    /// No copy older than this is accepted; `None`: what was purged is known.
+    /// No copy older than this is accepted; `None`: all purges are known.
     SetStalenessBound(Option<Micros>),
-    /// Copies that the instance keeps itself are void: purges may have been missed since they were made.
+    /// All copies in the local cache are void: purges may have been missed since they were made.
     ClearLocalCache,
-    /// Tell the operators.
+    /// Report a notice to the operators.
     Notify(Notice),
 }
 
-/// What operators are told.
+/// Notice for the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The log was not confirmed for too long, or not at all yet.
+    /// The log has not been confirmed for longer than the maximum staleness.
     CutOff,
-    /// It is again, after so long.
+    /// The log is confirmed again, or for the first time.
     Current {
-        /// How long it was not.
+        /// Time for which the log was not confirmed, in microseconds.
         after: Micros,
     },
-    /// Numbers that never came; `void`: copies older than they are may linger, so all from before count as void.
+    /// Entries that were overwritten before they were read.
     Missed {
-        /// The first.
+        /// Number of the first missed entry.
         from: u64,
-        /// The last.
+        /// Number of the last missed entry.
         to: u64,
-        /// See above.
+        /// Whether the missed purges may still be propagating, so that all copies from before them are void.
         void: bool,
     },
-    /// Numbers that were known are written anew: the log was begun again, or somebody else writes there.
+    /// Entries with known numbers were written again: the log was started again, or another program writes to it.
     Rewritten {
-        /// The last number known.
+        /// Number of the last entry read before.
         known: u64,
-        /// The last number written now.
+        /// Number of the last entry written again.
         written: u64,
     },
-    /// Something in it can't be used.
+    /// An entry cannot be used.
     Unusable(LogError),
 }
 
-/// What is counted since the start.
+/// Counters since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Entries put in force.
+    /// Entries applied.
     pub entries: u64,
-    /// Numbers that never came.
+    /// Entries that were overwritten before they were read.
     pub missed: u64,
     /// Entries that could not be used.
     pub unusable: u64,
-    /// Times that nothing could be vouched for.
+    /// Number of times that the instance was cut off.
     pub cut_offs: u64,
 }
 
-/// The log as one instance knows it.
+/// State of the log at one instance.
 #[derive(Clone, Debug)]
 pub struct PurgeLog {
-    staleness: Micros,
-    skew: Micros,
-    /// For so long copies older than a purge may linger.
-    lingers: Micros,
-    /// The last entry put in force or passed over for good; `None`: none was read yet.
+    max_staleness: Micros,
+    max_clock_skew: Micros,
+    /// Time after a purge for which older copies may remain somewhere.
+    propagation_time: Micros,
+    /// The last entry that was applied or skipped; `None`: the log was not read yet.
     last: Option<Head>,
-    /// Copies from before it are void whatever they are of, as long as they may linger; both as moments.
-    floor: Option<(Micros, Micros)>,
-    confirmed: Option<Micros>,
-    cut_off: Option<Micros>,
-    /// The bound as last told, and when.
+    /// All copies made before the first time are void, until the second time.
+    void_before: Option<(Micros, Micros)>,
+    /// Time as of which the log was last known to be current.
+    confirmed_at: Option<Micros>,
+    /// Time since which the instance is cut off; `None`: the log is current.
+    cut_off_since: Option<Micros>,
+    /// The staleness bound last set, and the time of that.
     bound: Option<(Micros, Micros)>,
-    /// When the bound was last looked at.
-    looked: Micros,
-    tightened: Option<Micros>,
-    figures: Counters,
+    /// Time at which the bound was last computed.
+    bound_computed_at: Micros,
+    /// Time at which a bound was last introduced or tightened.
+    bound_tightened_at: Option<Micros>,
+    counters: Counters,
 }
 
 impl PurgeLog {
-    /// Knows nothing yet, and so vouches for nothing. `lingers`: for so long copies older than a purge may be left
-    /// somewhere.
-    pub fn new(settings: &Settings, lingers: Micros, now: Micros) -> Self {
+    /// Creates the state of a log that was not read yet, and so is not current. `propagation_time` is the time after a
+    /// purge for which older copies may remain somewhere.
+    pub fn new(settings: &Settings, propagation_time: Micros, now: Micros) -> Self {
         PurgeLog {
-            staleness: settings.max_staleness,
-            skew: settings.max_clock_skew,
-            lingers,
+            max_staleness: settings.max_staleness,
+            max_clock_skew: settings.max_clock_skew,
+            propagation_time,
             last: None,
-            floor: None,
-            confirmed: None,
-            cut_off: Some(now),
+            void_before: None,
+            confirmed_at: None,
+            cut_off_since: Some(now),
             bound: None,
-            looked: now,
-            tightened: None,
-            figures: Counters::default(),
+            bound_computed_at: now,
+            bound_tightened_at: None,
+            counters: Counters::default(),
         }
     }
 
-    /// Other settings say for how long copies linger.
-    pub fn set_propagation_time(&mut self, lingers: Micros) {
-        self.lingers = lingers;
+    /// Sets the time after a purge for which older copies may remain somewhere.
+    pub fn set_propagation_time(&mut self, propagation_time: Micros) {
+        self.propagation_time = propagation_time;
     }
 
-    /// The last number known; 0: none.
+    /// Returns the number of the last known entry; 0: none.
     pub fn last_number(&self) -> u64 {
-        self.last.map_or(0, |l| l.number)
+        self.last.map_or(0, |last| last.number)
     }
 
-    /// Whether what was purged longer ago than the bound on staleness is known.
+    /// Returns whether all purges older than the maximum staleness are known.
     pub fn is_current(&self) -> bool {
-        self.cut_off.is_none()
+        self.cut_off_since.is_none()
     }
 
-    /// Whether any bound beyond the purges themselves is in force.
+    /// Returns whether a staleness bound is in force in addition to the purges.
     pub fn is_bounded(&self) -> bool {
         self.bound.is_some()
     }
 
-    /// When a bound came, or became tighter, last: what was decided before it does not count.
+    /// Returns the time at which a staleness bound was last introduced or tightened: earlier decisions are not valid.
     pub fn bound_tightened_at(&self) -> Option<Micros> {
-        self.tightened
+        self.bound_tightened_at
     }
 
-    /// Copies made before this moment are void, whatever they are of.
+    /// Returns the time before which all copies are void.
     pub fn void_before(&self) -> Option<Micros> {
-        self.floor.map(|f| f.0)
+        self.void_before.map(|void| void.0)
     }
 
-    /// What has been counted.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
-        self.figures
+        self.counters
     }
 
-    /// When the bound changes without anything being heard.
+    /// Returns the time at which the bound changes if no message arrives.
     pub fn next_deadline(&self) -> Micros {
-        let cut = match (self.cut_off, self.confirmed) {
-            (None, Some(confirmed)) => confirmed.saturating_add(self.staleness).saturating_add(1),
+        let cut_off_at = match (self.cut_off_since, self.confirmed_at) {
+            (None, Some(confirmed)) => confirmed.saturating_add(self.max_staleness).saturating_add(1),
             _ => Micros::MAX,
         };
-        let floor = self.floor.map_or(Micros::MAX, |_| self.looked.saturating_add(STEP));
-        cut.min(floor)
+        let void_update_at = self
+            .void_before
+            .map_or(Micros::MAX, |_| self.bound_computed_at.saturating_add(BOUND_UPDATE_INTERVAL));
+        cut_off_at.min(void_update_at)
     }
 
-    /// Takes entries that have changed, by their keys below [`ENTRIES`]; `None`: removed. At the first call all that
-    /// there are. `unix_ms` is the Unix millisecond of `now`.
+    /// Applies changed entries, by their keys below [`ENTRIES`]; `None`: removed. The first call must pass all entries.
+    /// `unix_ms` is `now` in Unix milliseconds.
     pub fn apply_changes<'a>(
         &mut self,
         now: Micros,
@@ -327,149 +334,156 @@
         entries: impl IntoIterator<Item = (&'a str, Option<&'a [u8]>)>,
         actions: &mut Vec<Action>,
     ) {
-        let first = self.last.is_none();
+        let is_first_read = self.last.is_none();
         let known = *self.last.get_or_insert_default();
-        let mut new: Vec<Entry> = Vec::new();
+        let mut new_entries: Vec<Entry> = Vec::new();
         for (key, value) in entries {
-            match read(key, value) {
-                Ok(entry) => new.push(entry),
-                Err(e) => self.unusable(now, e, actions),
+            match decode_entry(key, value) {
+                Ok(entry) => new_entries.push(entry),
+                Err(e) => self.record_unusable(now, e, actions),
             }
         }
-        new.sort_by_key(|e| e.number);
-        if let (Some(lowest), Some(highest)) = (new.first(), new.last()) {
+        new_entries.sort_by_key(|e| e.number);
+        if let (Some(lowest), Some(highest)) = (new_entries.first(), new_entries.last()) {
             if lowest.number <= known.number {
-                return self.went_back(now, highest.number, highest.when_ms, actions);
+                return self.handle_rewrite(now, highest.number, highest.when_ms, actions);
             }
         }
-        // A ring of which numbers lack counts from its last unbroken run on: what is before that is missed.
-        let run = new.windows(2).rposition(|w| w[0].number + 1 != w[1].number).map_or(0, |at| at + 1);
-        let Some(begins) = new.get(run).map(|e| (e.number, e.when_ms)) else { return };
-        if begins.0 > known.number + 1 {
-            self.missed(now, unix_ms, known.number + 1, begins, first, actions);
+        // In a ring with gaps only the last unbroken run is applied: the numbers before it are missed.
+        let run_start =
+            new_entries.windows(2).rposition(|w| w[0].number + 1 != w[1].number).map_or(0, |index| index + 1);
+        let Some(resumed_at) = new_entries.get(run_start).map(|e| (e.number, e.when_ms)) else { return };
+        if resumed_at.0 > known.number + 1 {
+            self.handle_gap(now, unix_ms, known.number + 1, resumed_at, is_first_read, actions);
         }
         let mut last = known;
-        for entry in new.drain(run..) {
+        for entry in new_entries.drain(run_start..) {
             if entry.when_ms < last.when_ms {
                 let key = slot(entry.number);
-                let why = "its moment is before that of the entry before";
-                self.unusable(now, LogError::OutOfOrder { key, why }, actions);
+                let why = "its time is before that of the previous entry";
+                self.record_unusable(now, LogError::OutOfOrder { key, why }, actions);
             }
             last = Head { number: entry.number, when_ms: entry.when_ms.max(last.when_ms) };
-            self.put_in_force(now, unix_ms, entry, first, actions);
+            self.apply_entry(now, unix_ms, entry, is_first_read, actions);
         }
         self.last = Some(last);
     }
 
-    /// Says as of which moment the log was known to be current; to be called after [`PurgeLog::apply_changes`], so that what
-    /// came with it is in force before it is vouched for.
+    /// Updates the time as of which the log was known to be current. The caller must call
+    /// [`PurgeLog::apply_changes`] first, so that all entries are applied before the log counts as current.
     pub fn update_confirmation(&mut self, now: Micros, confirmed: Option<Micros>, actions: &mut Vec<Action>) {
-        // Without a list nothing was read, whatever is confirmed.
-        self.confirmed = self.confirmed.max(confirmed.filter(|_| self.last.is_some()));
-        let vouched = self.confirmed.is_some_and(|c| now.saturating_sub(c) <= self.staleness);
-        match (vouched, self.cut_off) {
+        // A confirmation before the first list does not count, because no entry was read.
+        self.confirmed_at = self.confirmed_at.max(confirmed.filter(|_| self.last.is_some()));
+        let is_confirmed = self.confirmed_at.is_some_and(|c| now.saturating_sub(c) <= self.max_staleness);
+        match (is_confirmed, self.cut_off_since) {
             (true, Some(since)) => {
-                self.cut_off = None;
+                self.cut_off_since = None;
                 actions.push(Action::Notify(Notice::Current { after: now.saturating_sub(since) }));
             }
             (false, None) => {
-                self.cut_off = Some(now);
-                self.figures.cut_offs += 1;
+                self.cut_off_since = Some(now);
+                self.counters.cut_offs += 1;
                 actions.push(Action::Notify(Notice::CutOff));
             }
             _ => {}
         }
-        self.looked = now;
-        self.floor = self.floor.filter(|f| now < f.1);
-        let cut = self.cut_off.map(|_| self.staleness);
-        let floor = self.floor.map(|f| now.saturating_sub(f.0));
-        let bound = cut.into_iter().chain(floor).min();
-        let tell = match (bound, self.bound) {
-            (Some(new), Some((old, told))) => new < old || new > old && now >= told.saturating_add(STEP),
+        self.bound_computed_at = now;
+        self.void_before = self.void_before.filter(|void| now < void.1);
+        let cut_off_bound = self.cut_off_since.map(|_| self.max_staleness);
+        let void_bound = self.void_before.map(|void| now.saturating_sub(void.0));
+        let bound = cut_off_bound.into_iter().chain(void_bound).min();
+        let is_changed = match (bound, self.bound) {
+            (Some(new), Some((old, set_at))) => {
+                new < old || new > old && now >= set_at.saturating_add(BOUND_UPDATE_INTERVAL)
+            }
             (new, old) => new.is_some() != old.is_some(),
         };
-        if !tell {
+        if !is_changed {
             return;
         }
         if bound.is_some_and(|new| self.bound.is_none_or(|old| new < old.0)) {
-            self.tightened = Some(now);
+            self.bound_tightened_at = Some(now);
         }
         self.bound = bound.map(|b| (b, now));
         actions.push(Action::SetStalenessBound(bound));
     }
 
-    /// How long ago a Unix millisecond was, at the least that the clocks allow.
+    /// Returns the minimum age of a time in Unix milliseconds that the clock skew allows, in microseconds.
     fn age(&self, unix_ms: u64, when_ms: u64) -> Micros {
-        (unix_ms.saturating_sub(when_ms) * MS).saturating_sub(self.skew)
+        (unix_ms.saturating_sub(when_ms) * MS).saturating_sub(self.max_clock_skew)
     }
 
-    /// All copies from before `at` are void.
-    fn raise_floor(&mut self, now: Micros, at: Micros) {
-        let until = now.saturating_add(self.lingers);
-        let old = self.floor.unwrap_or((0, 0));
-        self.floor = Some((old.0.max(at), old.1.max(until)));
+    /// Voids all copies made before `at`, for the propagation time.
+    fn void_all_before(&mut self, now: Micros, at: Micros) {
+        let until = now.saturating_add(self.propagation_time);
+        let old = self.void_before.unwrap_or((0, 0));
+        self.void_before = Some((old.0.max(at), old.1.max(until)));
     }
 
-    fn unusable(&mut self, now: Micros, why: LogError, actions: &mut Vec<Action>) {
-        self.figures.unusable += 1;
-        self.raise_floor(now, now.saturating_add(self.skew));
+    fn record_unusable(&mut self, now: Micros, why: LogError, actions: &mut Vec<Action>) {
+        self.counters.unusable += 1;
+        self.void_all_before(now, now.saturating_add(self.max_clock_skew));
         actions.extend([Action::ClearLocalCache, Action::Notify(Notice::Unusable(why))]);
     }
 
-    /// What was known is written anew. Whatever it says now, copies from before now are void.
-    fn went_back(&mut self, now: Micros, there: u64, when_ms: u64, actions: &mut Vec<Action>) {
+    /// Handles known numbers that were written again: all copies made before now are void, whatever the new entries
+    /// say.
+    fn handle_rewrite(&mut self, now: Micros, written: u64, when_ms: u64, actions: &mut Vec<Action>) {
         let known = self.last_number();
-        self.raise_floor(now, now.saturating_add(self.skew));
-        self.last = Some(Head { number: there, when_ms });
-        actions
-            .extend([Action::ClearLocalCache, Action::Notify(Notice::Rewritten { known, written: there })]);
+        self.void_all_before(now, now.saturating_add(self.max_clock_skew));
+        self.last = Some(Head { number: written, when_ms });
+        actions.extend([Action::ClearLocalCache, Action::Notify(Notice::Rewritten { known, written })]);
     }
 
-    /// Numbers from `from` on never came; the log goes on with that one and its moment. No missed purge is later.
-    fn missed(
+    /// Handles a gap: the entries from `from` on were missed, up to the one whose number and time are `resumed_at`. No
+    /// missed purge is later than that time.
+    fn handle_gap(
         &mut self,
         now: Micros,
         unix_ms: u64,
         from: u64,
-        goes_on: (u64, u64),
-        first: bool,
+        resumed_at: (u64, u64),
+        is_first_read: bool,
         actions: &mut Vec<Action>,
     ) {
-        let age = self.age(unix_ms, goes_on.1);
-        let void = age < self.lingers;
+        let age = self.age(unix_ms, resumed_at.1);
+        let void = age < self.propagation_time;
         if void {
-            self.raise_floor(now, now.saturating_sub(age));
+            self.void_all_before(now, now.saturating_sub(age));
         }
         actions.push(Action::ClearLocalCache);
-        // An instance that has just begun missed nothing where the ring reaches back far enough.
-        if void || !first {
-            let to = goes_on.0 - 1;
-            self.figures.missed += to - from + 1;
+        // An instance that has just started missed nothing if the missed purges have propagated.
+        if void || !is_first_read {
+            let to = resumed_at.0 - 1;
+            self.counters.missed += to - from + 1;
             actions.push(Action::Notify(Notice::Missed { from, to, void }));
         }
     }
 
-    fn put_in_force(
+    fn apply_entry(
         &mut self,
         now: Micros,
         unix_ms: u64,
         entry: Entry,
-        first: bool,
+        is_first_read: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.figures.entries += 1;
+        self.counters.entries += 1;
         let age = self.age(unix_ms, entry.when_ms);
-        if first && age >= self.lingers {
-            return; // what it was about is gone everywhere, and nothing was kept here yet
+        if is_first_read && age >= self.propagation_time {
+            return; // older copies remain nowhere, and the local cache is still empty
         }
-        for cover in entry.scopes {
-            match cover {
+        for scope in entry.scopes {
+            match scope {
                 PurgeScope::Object(_) | PurgeScope::Group(_) => {
-                    actions.push(Action::Purge(cover, entry.when_ms.saturating_add(self.skew.div_ceil(MS))));
+                    actions.push(Action::Purge(
+                        scope,
+                        entry.when_ms.saturating_add(self.max_clock_skew.div_ceil(MS)),
+                    ));
                 }
-                // Which objects these are is not known here: unknown is strict.
+                // The instance does not know which objects these are, so all older copies are void.
                 PurgeScope::Tag(_) | PurgeScope::Pattern(_) => {
-                    self.raise_floor(now, now.saturating_sub(age));
+                    self.void_all_before(now, now.saturating_sub(age));
                     actions.push(Action::ClearLocalCache);
                 }
             }
@@ -477,15 +491,15 @@
     }
 }
 
-/// An entry at its key.
-fn read(key: &str, value: Option<&[u8]>) -> Result<Entry, LogError> {
+/// Decodes the entry at a key and checks its number and its scopes.
+fn decode_entry(key: &str, value: Option<&[u8]>) -> Result<Entry, LogError> {
     let value = value.ok_or_else(|| LogError::Removed { key: key.to_owned() })?;
     let entry: Entry = decode(key, value)?;
     if entry.number == 0 || key != slot(entry.number) {
-        return Err(LogError::OutOfOrder { key: key.to_owned(), why: "another number belongs there" });
+        return Err(LogError::OutOfOrder { key: key.to_owned(), why: "the key is that of another number" });
     }
     if !(1..=MAX_ENTRY_SCOPES).contains(&entry.scopes.len()) {
-        return Err(LogError::Covers { covers: entry.scopes.len() });
+        return Err(LogError::ScopeCount { scopes: entry.scopes.len() });
     }
     Ok(entry)
 }
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -1,29 +1,30 @@
-//! What an instance may still be given, against all purges that were committed: whatever came late, twice or never.
+//! Which copies an instance accepts, compared with all committed purges, when messages are late, repeated or lost.
 
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 const S: Micros = 1_000_000;
-const LINGERS: Micros = 12 * S;
-/// Where the tests begin, and the Unix millisecond of that moment.
+const PROPAGATION_TIME: Micros = 12 * S;
+/// Start time of the tests; `T0_UNIX_MS` is the same time in Unix milliseconds.
 const T0: Micros = 1_000 * S;
-const UNIX: u64 = 1_800_000_000_000;
+const T0_UNIX_MS: u64 = 1_800_000_000_000;
 
 fn settings() -> Settings {
     Settings::new(Vec::new(), "/p/")
 }
 
 fn unix_ms(now: Micros) -> u64 {
-    UNIX + (now - T0) / MS
+    T0_UNIX_MS + (now - T0) / MS
 }
 
-/// The registry's side: head and ring.
+/// The log in the registry: head and ring.
 #[derive(Clone, Default)]
 struct Ring {
     head: Option<Vec<u8>>,
     entries: BTreeMap<String, Vec<u8>>,
-    /// When each purge was committed, its object and the moment from which on a copy will do, in Unix milliseconds.
+    /// For each purge its commit time, its object, and the creation time from which a copy is acceptable, in Unix
+    /// milliseconds.
     committed: Vec<(Micros, u64, u64)>,
 }
 
@@ -43,30 +44,30 @@
     }
 }
 
-/// An instance's side: what the log told it, as the module and its own copies would take it.
-struct Told {
+/// An instance that carries out the actions of its [`PurgeLog`].
+struct Follower {
     log: PurgeLog,
-    seen: BTreeMap<String, Vec<u8>>,
-    /// By object the latest moment, in microseconds of the clock.
+    read_entries: BTreeMap<String, Vec<u8>>,
+    /// Time of the latest purge by object, in microseconds of the instance's clock.
     purged: BTreeMap<u64, Micros>,
     bound: Option<Micros>,
-    own_voided: usize,
-    said: Vec<Notice>,
+    local_cache_clears: usize,
+    notices: Vec<Notice>,
 }
 
-impl Told {
+impl Follower {
     fn new() -> Self {
-        let log = PurgeLog::new(&settings(), LINGERS, T0);
-        let mut told = Told {
+        let log = PurgeLog::new(&settings(), PROPAGATION_TIME, T0);
+        let mut follower = Follower {
             log,
-            seen: BTreeMap::new(),
+            read_entries: BTreeMap::new(),
             purged: BTreeMap::new(),
             bound: None,
-            own_voided: 0,
-            said: Vec::new(),
+            local_cache_clears: 0,
+            notices: Vec::new(),
         };
-        told.confirm(T0, None);
-        told
+        follower.confirm(T0, None);
+        follower
     }
 
     fn take(&mut self, now: Micros, actions: Vec<Action>) {
@@ -79,25 +80,25 @@
                 }
                 Action::Purge(..) => panic!("only objects are purged here"),
                 Action::SetStalenessBound(bound) => self.bound = bound,
-                Action::ClearLocalCache => self.own_voided += 1,
-                Action::Notify(notice) => self.said.push(notice),
+                Action::ClearLocalCache => self.local_cache_clears += 1,
+                Action::Notify(notice) => self.notices.push(notice),
             }
         }
     }
 
-    /// The mirror now shows the ring as it is.
+    /// Passes all changes of the ring to the log and confirms them.
     fn sync(&mut self, now: Micros, ring: &Ring) {
-        let keys: Vec<&String> = ring.entries.keys().chain(self.seen.keys()).collect();
+        let keys: Vec<&String> = ring.entries.keys().chain(self.read_entries.keys()).collect();
         let changed: BTreeMap<&str, Option<&[u8]>> = keys
             .into_iter()
-            .filter(|k| ring.entries.get(*k) != self.seen.get(*k))
+            .filter(|k| ring.entries.get(*k) != self.read_entries.get(*k))
             .map(|k| (k.as_str(), ring.entries.get(k).map(Vec::as_slice)))
             .collect();
         let mut actions = Vec::new();
         if !changed.is_empty() || self.log.last.is_none() {
             self.log.apply_changes(now, unix_ms(now), changed, &mut actions);
         }
-        self.seen = ring.entries.clone();
+        self.read_entries = ring.entries.clone();
         self.log.update_confirmation(now, Some(now), &mut actions);
         self.take(now, actions);
     }
@@ -108,94 +109,98 @@
         self.take(now, actions);
     }
 
-    /// The oldest moment from which a copy of an object would be accepted.
-    fn accepts(&self, now: Micros, object: u64) -> Micros {
+    /// Returns the creation time of the oldest copy of an object that would be accepted.
+    fn oldest_accepted(&self, now: Micros, object: u64) -> Micros {
         let purged = self.purged.get(&object).copied().unwrap_or(0);
         purged.max(self.bound.map_or(0, |age| now.saturating_sub(age)))
     }
 
-    /// Whether any purge that has to be in force is not.
-    fn lax(&self, now: Micros, ring: &Ring) -> Option<(Micros, u64, u64)> {
-        let binds =
-            |c: &&(Micros, u64, u64)| now >= c.0 + settings().max_staleness + MS && now < c.0 + LINGERS;
-        let due = ring.committed.iter().filter(binds);
-        due.copied().find(|c| self.accepts(now, c.1) < T0 + (c.2 - UNIX) * MS)
+    /// Returns a purge that must be in force and is not.
+    fn find_unenforced_purge(&self, now: Micros, ring: &Ring) -> Option<(Micros, u64, u64)> {
+        let must_be_enforced = |c: &&(Micros, u64, u64)| {
+            now >= c.0 + settings().max_staleness + MS && now < c.0 + PROPAGATION_TIME
+        };
+        let due = ring.committed.iter().filter(must_be_enforced);
+        due.copied().find(|c| self.oldest_accepted(now, c.1) < T0 + (c.2 - T0_UNIX_MS) * MS)
     }
 }
 
 #[test]
-fn a_new_instance_vouches_for_nothing_until_it_has_read_the_log_and_then_for_all_of_it() {
-    let (mut ring, mut told) = (Ring::default(), Told::new());
-    assert_eq!((told.bound, told.log.is_current()), (Some(S), false));
-    told.confirm(T0 + MS, Some(T0));
-    assert!(!told.log.is_current(), "nothing was read, whatever is confirmed");
+fn new_instance_is_cut_off_until_it_has_read_the_log_and_then_enforces_every_purge() {
+    let (mut ring, mut follower) = (Ring::default(), Follower::new());
+    assert_eq!((follower.bound, follower.log.is_current()), (Some(S), false));
+    follower.confirm(T0 + MS, Some(T0));
+    assert!(!follower.log.is_current(), "a confirmation does not count before the log was read");
     ring.purge(T0, 7);
-    told.sync(T0 + 10 * MS, &ring);
-    assert_eq!((told.bound, told.log.is_current(), told.log.last_number()), (None, true, 1));
-    assert!(told.accepts(T0 + 10 * MS, 7) >= T0, "a margin for clocks on top");
-    assert_eq!(told.accepts(T0 + 10 * MS, 8), 0);
-    let mut empty = Told::new();
+    follower.sync(T0 + 10 * MS, &ring);
+    assert_eq!((follower.bound, follower.log.is_current(), follower.log.last_number()), (None, true, 1));
+    assert!(follower.oldest_accepted(T0 + 10 * MS, 7) >= T0, "the purge time includes the clock skew");
+    assert_eq!(follower.oldest_accepted(T0 + 10 * MS, 8), 0);
+    let mut empty = Follower::new();
     empty.sync(T0 + MS, &Ring::default());
-    assert!(empty.log.is_current(), "an empty log says that nothing was purged");
+    assert!(empty.log.is_current(), "an empty log means that nothing was purged");
 }
 
 #[test]
-fn silence_alone_makes_it_strict_at_the_bound_and_a_word_lifts_that_after_what_was_missed_is_in_force() {
-    let (mut ring, mut told) = (Ring::default(), Told::new());
-    told.sync(T0, &ring);
-    assert_eq!(told.log.next_deadline(), T0 + S + 1, "it knows by itself when it is cut off");
-    told.confirm(T0 + S, None);
-    assert_eq!(told.bound, None);
-    told.confirm(T0 + S + 1, None);
-    assert_eq!((told.bound, told.log.bound_tightened_at()), (Some(S), Some(T0 + S + 1)));
+fn staleness_bound_is_set_without_confirmations_and_lifted_after_missed_purges_are_applied() {
+    let (mut ring, mut follower) = (Ring::default(), Follower::new());
+    follower.sync(T0, &ring);
+    assert_eq!(follower.log.next_deadline(), T0 + S + 1, "the cut-off needs no message");
+    follower.confirm(T0 + S, None);
+    assert_eq!(follower.bound, None);
+    follower.confirm(T0 + S + 1, None);
+    assert_eq!((follower.bound, follower.log.bound_tightened_at()), (Some(S), Some(T0 + S + 1)));
     ring.purge(T0 + 2 * S, 7);
-    told.sync(T0 + 5 * S, &ring);
-    assert_eq!((told.bound, told.log.counters().cut_offs), (None, 1));
-    assert!(told.accepts(T0 + 5 * S, 7) >= T0 + 2 * S);
-    let vouched = Notice::Current { after: 4 * S - 1 };
-    assert_eq!(told.said, [Notice::Current { after: 0 }, Notice::CutOff, vouched]);
+    follower.sync(T0 + 5 * S, &ring);
+    assert_eq!((follower.bound, follower.log.counters().cut_offs), (None, 1));
+    assert!(follower.oldest_accepted(T0 + 5 * S, 7) >= T0 + 2 * S);
+    let current_again = Notice::Current { after: 4 * S - 1 };
+    assert_eq!(follower.notices, [Notice::Current { after: 0 }, Notice::CutOff, current_again]);
 }
 
 #[test]
-fn what_the_ring_lost_voids_all_older_copies_while_they_may_linger_and_own_ones_always() {
-    for (since, void) in [(S, true), (LINGERS + S, false)] {
-        let (mut ring, mut told) = (Ring::default(), Told::new());
-        told.sync(T0, &ring);
-        let began = T0 + S;
-        (0..SLOTS + 5).for_each(|n| drop(ring.purge(began, n)));
-        let now = began + since;
-        told.sync(now, &ring);
-        assert_eq!(told.own_voided, 1, "own copies are not dropped by depots");
-        assert_eq!(told.said.last(), Some(&Notice::Missed { from: 1, to: 5, void }));
-        assert_eq!(told.bound.is_some(), void);
+fn overwritten_entries_void_older_copies_for_the_propagation_time_and_always_clear_the_local_cache() {
+    for (elapsed, void) in [(S, true), (PROPAGATION_TIME + S, false)] {
+        let (mut ring, mut follower) = (Ring::default(), Follower::new());
+        follower.sync(T0, &ring);
+        let purged_at = T0 + S;
+        (0..SLOTS + 5).for_each(|n| drop(ring.purge(purged_at, n)));
+        let now = purged_at + elapsed;
+        follower.sync(now, &ring);
+        assert_eq!(follower.local_cache_clears, 1, "endpoints do not drop the copies of the local cache");
+        assert_eq!(follower.notices.last(), Some(&Notice::Missed { from: 1, to: 5, void }));
+        assert_eq!(follower.bound.is_some(), void);
         if void {
-            assert!(told.accepts(now, 0) >= began && told.accepts(now, u64::MAX) >= began);
+            assert!(
+                follower.oldest_accepted(now, 0) >= purged_at
+                    && follower.oldest_accepted(now, u64::MAX) >= purged_at
+            );
         }
-        assert_eq!(told.log.counters().missed, 5);
-        // The bound follows the floor, looser with time, and ends once nothing that old is left.
-        told.confirm(now + 2 * S, Some(now + 2 * S));
-        assert!(told.bound.is_none_or(|b| b >= 2 * S));
-        told.confirm(now + LINGERS, Some(now + LINGERS));
-        assert_eq!(told.bound, None);
+        assert_eq!(follower.log.counters().missed, 5);
+        // The bound grows with time, and ends after the propagation time.
+        follower.confirm(now + 2 * S, Some(now + 2 * S));
+        assert!(follower.bound.is_none_or(|b| b >= 2 * S));
+        follower.confirm(now + PROPAGATION_TIME, Some(now + PROPAGATION_TIME));
+        assert_eq!(follower.bound, None);
     }
 }
 
 #[test]
-fn a_long_ring_of_old_entries_costs_a_new_instance_nothing() {
-    let (mut ring, mut told) = (Ring::default(), Told::new());
+fn new_instance_skips_entries_older_than_the_propagation_time() {
+    let (mut ring, mut follower) = (Ring::default(), Follower::new());
     (0..3 * SLOTS).for_each(|n| drop(ring.purge(T0, n)));
-    told.sync(T0 + LINGERS + S, &ring);
-    assert_eq!((told.bound, told.purged.len(), told.log.last_number()), (None, 0, 3 * SLOTS));
-    // Where it does not reach back far enough, what it lost may still linger.
-    let mut told = Told::new();
-    told.sync(T0 + S, &ring);
-    assert!(told.accepts(T0 + S, 0) >= T0 && told.bound.is_some());
+    follower.sync(T0 + PROPAGATION_TIME + S, &ring);
+    assert_eq!((follower.bound, follower.purged.len(), follower.log.last_number()), (None, 0, 3 * SLOTS));
+    // If the ring does not reach back that far, copies older than an overwritten purge may remain.
+    let mut follower = Follower::new();
+    follower.sync(T0 + S, &ring);
+    assert!(follower.oldest_accepted(T0 + S, 0) >= T0 && follower.bound.is_some());
 }
 
 #[test]
-fn what_cannot_be_used_counts_as_a_purge_of_everything() {
-    type Spoil = fn(&mut Ring);
-    let spoils: [(&str, Spoil); 7] = [
+fn unusable_entry_voids_all_older_copies_for_the_propagation_time() {
+    type Corruption = fn(&mut Ring);
+    let corruptions: [(&str, Corruption); 7] = [
         ("unreadable", |r| drop(r.entries.insert(slot(2), b"\x01no entry".to_vec()))),
         ("empty", |r| drop(r.entries.insert(slot(2), Vec::new()))),
         ("a later format", |r| drop(r.entries.insert(slot(2), vec![9, 1, 1]))),
@@ -204,42 +209,48 @@
             r.entries.insert(slot(3), other);
         }),
         ("removed", |r| drop(r.entries.remove(&slot(1)))),
-        ("a tag, and which objects have it is not known", |r| {
+        ("a tag, whose objects the instance does not know", |r| {
             let (_, [head, new]) =
                 append(r.head.as_deref(), unix_ms(T0 + S), vec![PurgeScope::Tag("t".into())]).unwrap();
             r.head = Some(head.1);
             r.entries.insert(slot(2), new.1);
         }),
-        ("begun anew", |r| {
+        ("started again", |r| {
             r.head = None;
             r.purge(T0 + S, 99);
         }),
     ];
-    for (what, spoil) in spoils {
-        let (mut ring, mut told) = (Ring::default(), Told::new());
+    for (case, corrupt) in corruptions {
+        let (mut ring, mut follower) = (Ring::default(), Follower::new());
         ring.purge(T0, 1);
-        told.sync(T0 + MS, &ring);
-        assert_eq!(told.bound, None);
-        spoil(&mut ring);
+        follower.sync(T0 + MS, &ring);
+        assert_eq!(follower.bound, None);
+        corrupt(&mut ring);
         let now = T0 + S + MS;
-        told.sync(now, &ring);
-        assert!(told.bound.is_some() && told.accepts(now, 4_242) >= T0 + S - 250 * MS, "{what}");
-        assert!(told.own_voided > 0, "{what}");
-        told.sync(now + LINGERS + S, &ring);
-        assert_eq!(told.bound, None, "{what}: it is over");
+        follower.sync(now, &ring);
+        assert!(
+            follower.bound.is_some() && follower.oldest_accepted(now, 4_242) >= T0 + S - 250 * MS,
+            "{case}"
+        );
+        assert!(follower.local_cache_clears > 0, "{case}");
+        follower.sync(now + PROPAGATION_TIME + S, &ring);
+        assert_eq!(follower.bound, None, "{case}: the bound ends");
     }
 }
 
 #[test]
-fn entries_that_break_the_rules_of_the_log_are_not_appended() {
-    assert_eq!(append(None, 1, Vec::new()).unwrap_err(), LogError::Covers { covers: 0 });
-    let most = vec![PurgeScope::Object(1); MAX_ENTRY_SCOPES + 1];
-    assert_eq!(append(None, 1, most).unwrap_err(), LogError::Covers { covers: MAX_ENTRY_SCOPES + 1 });
-    let spoilt = LogError::Unreadable { key: HEAD.into() };
-    assert_eq!(append(Some(b""), 1, vec![PurgeScope::Object(1)]).unwrap_err(), spoilt);
+fn append_rejects_invalid_scope_counts_unreadable_heads_and_a_full_log() {
+    assert_eq!(append(None, 1, Vec::new()).unwrap_err(), LogError::ScopeCount { scopes: 0 });
+    let too_many_scopes = vec![PurgeScope::Object(1); MAX_ENTRY_SCOPES + 1];
+    assert_eq!(
+        append(None, 1, too_many_scopes).unwrap_err(),
+        LogError::ScopeCount { scopes: MAX_ENTRY_SCOPES + 1 }
+    );
+    let unreadable_head = LogError::Unreadable { key: HEAD.into() };
+    assert_eq!(append(Some(b""), 1, vec![PurgeScope::Object(1)]).unwrap_err(), unreadable_head);
     let last = encode(&Head { number: u64::MAX, when_ms: 5 });
     assert_eq!(append(Some(&last), 1, vec![PurgeScope::Object(1)]).unwrap_err(), LogError::Full);
-    // An issuer whose clock is behind does not take the log's moments back.
+    // The times of the log do not decrease if an issuer's clock is behind.
     let head = encode(&Head { number: 4, when_ms: 500 });
     let (entry, [_, (key, _)]) = append(Some(&head), 300, vec![PurgeScope::Group(3)]).unwrap();
     assert_eq!((entry.number, entry.when_ms, key.as_str()), (5, 500, "log/0005"));
@@ -248,7 +259,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Purge(u64),
-    /// Purges at once, so that the ring overwrites some before they are seen.
+    /// Many purges at once, so that the ring overwrites some before they are read.
     Burst(u16),
     Sync,
     Pass(Micros),
@@ -267,57 +278,57 @@
 
 proptest! {
     #![proptest_config(proptest::test_runner::Config { cases: 96, ..crate::net::testing::config() })]
-    /// Whatever is heard late or never: from the bound on, no copy older than a purge is accepted while it may linger;
-    /// and where all is heard, nothing but what was purged is held to any bound.
+    /// With late or missing messages, no copy older than a purge is accepted from the staleness bound to the end of the
+    /// propagation time; with no message missing, no bound is in force beyond the purges themselves.
     #[test]
-    fn no_copy_older_than_a_purge_is_accepted_once_the_bound_has_passed(
-        steps in prop::collection::vec(step(), 1..60), skewed in 0..250u64,
+    fn no_copy_older_than_a_purge_is_accepted_after_the_staleness_bound(
+        steps in prop::collection::vec(step(), 1..60), issuer_lag_ms in 0..250u64,
     ) {
-        let (mut ring, mut told, mut now) = (Ring::default(), Told::new(), T0);
-        let mut synced = None;
+        let (mut ring, mut follower, mut now) = (Ring::default(), Follower::new(), T0);
+        let mut synced_at = None;
         for step in steps {
             match step {
-                // The issuer's clock may be behind.
-                Step::Purge(object) => drop(ring.purge_at(now, unix_ms(now) - skewed.min((now - T0) / MS), object)),
-                Step::Burst(many) => (0..many).for_each(|n| drop(ring.purge(now, 10 + u64::from(n)))),
+                // The issuer's clock may be behind the instance's.
+                Step::Purge(object) => drop(ring.purge_at(now, unix_ms(now) - issuer_lag_ms.min((now - T0) / MS), object)),
+                Step::Burst(count) => (0..count).for_each(|n| drop(ring.purge(now, 10 + u64::from(n)))),
                 Step::Sync => {
-                    told.sync(now, &ring);
-                    synced = Some(now);
+                    follower.sync(now, &ring);
+                    synced_at = Some(now);
                 }
                 Step::Pass(span) => {
-                    // The owner comes back when the log asked for it.
+                    // The caller runs the log at each deadline.
                     let until = now + span;
                     while now < until {
-                        now = told.log.next_deadline().clamp(now + 1, until);
-                        told.confirm(now, None);
-                        prop_assert_eq!(told.lax(now, &ring), None);
+                        now = follower.log.next_deadline().clamp(now + 1, until);
+                        follower.confirm(now, None);
+                        prop_assert_eq!(follower.find_unenforced_purge(now, &ring), None);
                     }
                 }
                 Step::Restart => {
-                    told = Told::new();
-                    told.confirm(now, None);
-                    synced = None;
+                    follower = Follower::new();
+                    follower.confirm(now, None);
+                    synced_at = None;
                 }
             }
-            prop_assert_eq!(told.lax(now, &ring), None);
-            told.confirm(now, None);
-            prop_assert!(told.log.next_deadline() > now, "it asks for no turn at once: that would be a busy loop");
-            let current = synced.is_some_and(|at| now <= at + settings().max_staleness);
-            prop_assert_eq!(told.log.is_current(), current);
-            if current && told.log.void_before().is_none() {
-                prop_assert_eq!(told.bound, None);
+            prop_assert_eq!(follower.find_unenforced_purge(now, &ring), None);
+            follower.confirm(now, None);
+            prop_assert!(follower.log.next_deadline() > now, "an immediate deadline would cause a busy loop");
+            let current = synced_at.is_some_and(|at| now <= at + settings().max_staleness);
+            prop_assert_eq!(follower.log.is_current(), current);
+            if current && follower.log.void_before().is_none() {
+                prop_assert_eq!(follower.bound, None);
             }
         }
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic_and_make_nothing_laxer(
+    fn arbitrary_bytes_cause_no_panic_and_are_applied_or_set_a_bound(
         key in ".{0,6}", bytes in prop::collection::vec(any::<u8>(), 0..80),
     ) {
-        let mut told = Told::new();
-        told.sync(T0, &Ring::default());
+        let mut follower = Follower::new();
+        follower.sync(T0, &Ring::default());
         let ring = Ring { entries: [(key, bytes)].into(), ..Ring::default() };
-        told.sync(T0 + S, &ring);
-        prop_assert!(told.log.counters().entries == 1 || told.bound.is_some());
+        follower.sync(T0 + S, &ring);
+        prop_assert!(follower.log.counters().entries == 1 || follower.bound.is_some());
     }
 }
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -121,9 +121,9 @@
             digest.tag(4);
             digest.text(key);
         }
-        LogError::Covers { covers } => {
+        LogError::ScopeCount { scopes } => {
             digest.tag(5);
-            digest.count(*covers);
+            digest.count(*scopes);
         }
         LogError::Full => digest.tag(6),
     }
