--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -151,7 +151,7 @@
 }
 
 /// Returns the key of an entry, below [`ENTRIES`].
-pub fn slot(number: u64) -> String {
+pub fn slot_key(number: u64) -> String {
     format!("{:04}", number % SLOTS)
 }
 
@@ -175,7 +175,8 @@
     let number = last.number.checked_add(1).ok_or(LogError::Full)?;
     let entry = Entry { number, when_ms: now_ms.max(last.when_ms), scopes };
     let head = Head { number, when_ms: entry.when_ms };
-    let writes = [(HEAD.to_owned(), encode(&head)), (format!("{ENTRIES}{}", slot(number)), encode(&entry))];
+    let writes =
+        [(HEAD.to_owned(), encode(&head)), (format!("{ENTRIES}{}", slot_key(number)), encode(&entry))];
     Ok((entry, writes))
 }
 
@@ -359,7 +360,7 @@
         let mut last = known;
         for entry in new_entries.drain(run_start..) {
             if entry.when_ms < last.when_ms {
-                let key = slot(entry.number);
+                let key = slot_key(entry.number);
                 let why = "its time is before that of the previous entry";
                 self.record_unusable(now, LogError::OutOfOrder { key, why }, actions);
             }
@@ -495,7 +496,7 @@
 fn decode_entry(key: &str, value: Option<&[u8]>) -> Result<Entry, LogError> {
     let value = value.ok_or_else(|| LogError::Removed { key: key.to_owned() })?;
     let entry: Entry = decode(key, value)?;
-    if entry.number == 0 || key != slot(entry.number) {
+    if entry.number == 0 || key != slot_key(entry.number) {
         return Err(LogError::OutOfOrder { key: key.to_owned(), why: "the key is that of another number" });
     }
     if !(1..=MAX_ENTRY_SCOPES).contains(&entry.scopes.len()) {
--- a/src/purges/log/tests.rs
+++ b/src/purges/log/tests.rs
@@ -201,19 +201,19 @@
 fn unusable_entry_voids_all_older_copies_for_the_propagation_time() {
     type Corruption = fn(&mut Ring);
     let corruptions: [(&str, Corruption); 7] = [
-        ("unreadable", |r| drop(r.entries.insert(slot(2), b"\x01no entry".to_vec()))),
-        ("empty", |r| drop(r.entries.insert(slot(2), Vec::new()))),
-        ("a later format", |r| drop(r.entries.insert(slot(2), vec![9, 1, 1]))),
+        ("unreadable", |r| drop(r.entries.insert(slot_key(2), b"\x01no entry".to_vec()))),
+        ("empty", |r| drop(r.entries.insert(slot_key(2), Vec::new()))),
+        ("a later format", |r| drop(r.entries.insert(slot_key(2), vec![9, 1, 1]))),
         ("a key of another number", |r| {
-            let other = r.entries[&slot(1)].clone();
-            r.entries.insert(slot(3), other);
+            let other = r.entries[&slot_key(1)].clone();
+            r.entries.insert(slot_key(3), other);
         }),
-        ("removed", |r| drop(r.entries.remove(&slot(1)))),
+        ("removed", |r| drop(r.entries.remove(&slot_key(1)))),
         ("a tag, whose objects the instance does not know", |r| {
             let (_, [head, new]) =
                 append(r.head.as_deref(), unix_ms(T0 + S), vec![PurgeScope::Tag("t".into())]).unwrap();
             r.head = Some(head.1);
-            r.entries.insert(slot(2), new.1);
+            r.entries.insert(slot_key(2), new.1);
         }),
         ("started again", |r| {
             r.head = None;
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -262,7 +262,7 @@
     same_as_stored("stored/purge-log-head-2.hex", &head);
     let entry = same_as_stored("stored/purge-log-entry-2.hex", &entry);
     assert_eq!(entry_key, "log/0002");
-    assert_eq!((log::ENTRIES, log::HEAD, log::slot(1_031)), ("log/", "head", "0007".to_owned()));
+    assert_eq!((log::ENTRIES, log::HEAD, log::slot_key(1_031)), ("log/", "head", "0007".to_owned()));
 
     let settings = log::Settings::new(Vec::new(), "/larchdale/purges/");
     let mut followed = log::PurgeLog::new(&settings, 6_000_000, 10_000_000);
