--- a/src/purges/cut_off.rs
+++ b/src/purges/cut_off.rs
@@ -1,7 +1,7 @@
-//! Why an instance can vouch for the purge log no longer, from what its follower knew in that moment.
+//! Cause of a cut-off from the purge log, found from the state of its follower at that time.
 //!
-//! A core: no clock, no input, no output. The follower ([`crate::proxy`]) asks it when [`super::log::PurgeLog`] cuts the
-//! instance off; the answer goes into the log and into the figures.
+//! The module does no I/O and reads no clock. The follower ([`crate::proxy`]) calls it when [`super::log::PurgeLog`]
+//! cuts the instance off, and writes the cause to the log and to the metrics.
 
 #[cfg(test)]
 mod tests;
@@ -9,32 +9,32 @@
 use crate::registry::documents::FollowPhase;
 use crate::routing::events::Micros;
 
-/// An instance that judges later than this after the judgement was due did not run meanwhile.
-const LATE_JUDGEMENT: Micros = 50_000;
+/// Delay after the staleness deadline, in microseconds, above which the instance itself was not running.
+const MAX_DEADLINE_DELAY: Micros = 50_000;
 
-/// What was known when the instance was cut off.
+/// State of the follower when the instance was cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evidence {
-    /// The present moment, in microseconds.
+    /// Current time, in microseconds.
     pub now: Micros,
-    /// When the log would be confirmed for too long ago, as known before this turn.
+    /// Time at which the last confirmation became too old, as known before this turn of the event loop.
     pub staleness_deadline: Micros,
-    /// As of when the log was last confirmed.
+    /// Time as of which the log was last confirmed.
     pub confirmed: Option<Micros>,
-    /// How far the follower's connection to the registry is.
+    /// Phase of the follower's connection to the registry.
     pub phase: FollowPhase,
 }
 
-/// Why nothing is vouched for.
+/// Cause of a cut-off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The instance itself did not run when it was due.
+    /// The instance itself was not running at the deadline.
     InstanceStalled,
-    /// A check was sent, and the registry has not answered.
+    /// The registry has not answered a check.
     CheckUnanswered,
-    /// There is no connection on which the log is followed: it was lost, is dialed, or the list is read anew.
+    /// No connection follows the log: it was lost, is being dialed, or is reading the list again.
     Disconnected,
-    /// The log is followed, but its last confirmation came too late to be of use.
+    /// The connection follows the log, but the last confirmation came too late.
     ConfirmedLate,
 }
 
@@ -43,9 +43,9 @@
     pub const ALL: [Cause; 4] =
         [Cause::InstanceStalled, Cause::CheckUnanswered, Cause::Disconnected, Cause::ConfirmedLate];
 
-    /// The cause that the evidence shows.
+    /// Returns the cause that the evidence shows.
     pub fn of(evidence: &Evidence) -> Cause {
-        if evidence.now.saturating_sub(evidence.staleness_deadline) > LATE_JUDGEMENT {
+        if evidence.now.saturating_sub(evidence.staleness_deadline) > MAX_DEADLINE_DELAY {
             return Cause::InstanceStalled;
         }
         match evidence.phase {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Its name in log lines.
+    /// Returns the name of the cause in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Cause::InstanceStalled => "late_turn",
@@ -66,19 +66,19 @@
     }
 }
 
-/// How often each cause has cut the instance off since the start.
+/// Number of cut-offs by cause since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CauseCounts {
     counts: [u64; Cause::ALL.len()],
 }
 
 impl CauseCounts {
-    /// Counts a cause.
+    /// Counts a cut-off.
     pub fn add(&mut self, cause: Cause) {
         self.counts[cause as usize] += 1;
     }
 
-    /// How often it was this cause.
+    /// Returns the number of cut-offs with this cause.
     pub fn get(&self, cause: Cause) -> u64 {
         self.counts[cause as usize]
     }
--- a/src/purges/cut_off/tests.rs
+++ b/src/purges/cut_off/tests.rs
@@ -1,4 +1,4 @@
-//! What each evidence shows.
+//! Cause found for each kind of evidence.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_instance_that_did_not_run_blames_itself_and_not_the_registry() {
+fn cause_is_the_instance_itself_if_it_ran_too_late_and_else_the_connection_phase() {
     let checking = FollowPhase::Checking { sent: 4_500 * MS };
     let phases = [
         checking,
@@ -20,15 +20,15 @@
         FollowPhase::Watching,
     ];
     for phase in phases {
-        assert_eq!(Cause::of(&evidence(LATE_JUDGEMENT + 1, phase)), Cause::InstanceStalled);
+        assert_eq!(Cause::of(&evidence(MAX_DEADLINE_DELAY + 1, phase)), Cause::InstanceStalled);
     }
-    let in_time = phases.map(|phase| Cause::of(&evidence(LATE_JUDGEMENT, phase)));
+    let in_time = phases.map(|phase| Cause::of(&evidence(MAX_DEADLINE_DELAY, phase)));
     let lost = Cause::Disconnected;
     assert_eq!(in_time, [Cause::CheckUnanswered, lost, lost, lost, Cause::ConfirmedLate]);
 }
 
 #[test]
-fn each_cause_has_a_count_and_a_name_of_its_own() {
+fn each_cause_has_its_own_count_and_name() {
     let mut counts = CauseCounts::default();
     for (times, cause) in Cause::ALL.into_iter().enumerate() {
         (0..times).for_each(|_| counts.add(cause));
--- a/src/purges/in_force.rs
+++ b/src/purges/in_force.rs
@@ -1,13 +1,13 @@
-//! What all purges that are in force ask for together.
+//! Combined effect of all purges in force.
 //!
-//! Effects merge by maximum, so that instances that hear overlapping purges in different orders, twice, or through a list
-//! of what is in force, end in the same state:
+//! Effects merge by maximum, so that instances that receive overlapping purges in different orders, twice, or as a list
+//! of those in force, reach the same state:
 //!
 //! - `a.merge(b) == b.merge(a)`, `a.merge(b.merge(c)) == a.merge(b).merge(c)`, `a.merge(a) == a`;
-//! - applying purges in any order, any of them repeatedly, gives one state.
+//! - applying purges in any order, with repetitions, gives the same state.
 //!
-//! What must never happen: a bound that is laxer than the purges ask for. Capacity is bounded; what finds none only ever
-//! makes the bound stricter.
+//! Invariant: a bound is never laxer than the purges require. Capacity is limited; entries that exceed it only make the
+//! bound stricter.
 
 use super::marks::{Mark, MarkTable};
 use super::purge::{parse_pattern, InvalidPurge, Purge, PurgeScope};
@@ -16,17 +16,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Covers everything.
+/// Pattern that matches every object.
 const MATCH_ALL: &str = "*";
 
-/// How much is kept exactly.
+/// Number of entries that are tracked exactly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Objects, and as many groups, that have a mark of their own.
+    /// Maximum number of objects, and of groups, with a mark of their own.
     pub objects: usize,
-    /// Tags that do.
+    /// Maximum number of tags with a mark of their own.
     pub tags: usize,
-    /// Patterns; beyond, the one that is over first counts as everything.
+    /// Maximum number of patterns; above it the pattern that expires first counts as a purge of everything.
     pub patterns: usize,
 }
 
@@ -36,36 +36,36 @@
     }
 }
 
-/// What a request is for, as far as purges go.
+/// Properties of a requested object that purges depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestedObject<'a> {
     /// The object.
     pub object: u64,
-    /// Its group.
+    /// Purge group of the object.
     pub group: u64,
-    /// Its name, as patterns see it.
+    /// Name of the object, which patterns are matched against.
     pub name: &'a str,
-    /// Its tags; `None`: not known.
+    /// Tags of the object; `None`: unknown.
     pub tags: Option<&'a [Arc<str>]>,
 }
 
-/// All purges in force.
+/// Combined state of all purges in force.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct PurgesInForce {
     capacity: Capacity,
     objects: MarkTable<u64>,
     groups: MarkTable<u64>,
     tags: MarkTable<Arc<str>>,
-    /// The latest mark of any tag: what holds for an object whose tags are not known. Only ever too strict.
+    /// Merged mark of all tags, which applies to objects with unknown tags. May be too strict, never too lax.
     any_tag: Mark,
     patterns: BTreeMap<Arc<str>, Mark>,
-    /// The patterns in their order, ready to be matched all at once.
+    /// Compiled set of the patterns, in the order of `glob_marks`.
     globs: Arc<GlobSet>,
     glob_marks: Vec<Mark>,
     everything: Mark,
 }
 
-impl PartialEq for InForce {
+impl PartialEq for PurgesInForce {
     fn eq(&self, other: &Self) -> bool {
         self.objects == other.objects
             && self.groups == other.groups
@@ -76,10 +76,10 @@
     }
 }
 
-impl InForce {
-    /// None yet.
+impl PurgesInForce {
+    /// Creates a state without purges.
     pub fn new(capacity: Capacity) -> Self {
-        InForce {
+        PurgesInForce {
             capacity,
             objects: MarkTable::new(capacity.objects),
             groups: MarkTable::new(capacity.objects),
@@ -92,19 +92,19 @@
         }
     }
 
-    /// Takes a purge. One that can't be used counts for everything: what it meant is not known.
+    /// Applies a purge. An invalid purge counts as a purge of everything, because its intended scope is unknown.
     ///
     /// # Errors
-    /// It can't be used.
+    /// The purge is invalid.
     pub fn apply(&mut self, purge: &Purge) -> Result<(), InvalidPurge> {
-        let mark = Mark { when: purge.when, until: purge.until };
+        let mark = Mark { void_before: purge.purged_at, expires_at: purge.expires_at };
         if let Err(error) = purge.check() {
             self.everything.merge(mark);
             return Err(error);
         }
         let mut has_pattern = false;
-        for cover in &purge.scopes {
-            match cover {
+        for scope in &purge.scopes {
+            match scope {
                 PurgeScope::Object(object) => self.objects.add(*object, mark),
                 PurgeScope::Group(group) => self.groups.add(*group, mark),
                 PurgeScope::Tag(tag) => {
@@ -124,13 +124,13 @@
         Ok(())
     }
 
-    /// Counts an unreadable purge: strict for all until it is over.
-    pub fn unreadable(&mut self, when: Micros, until: Micros) {
-        self.everything.merge(Mark { when, until });
+    /// Adds an unreadable purge, which counts as a purge of everything until it expires.
+    pub fn add_unreadable(&mut self, purged_at: Micros, expires_at: Micros) {
+        self.everything.merge(Mark { void_before: purged_at, expires_at });
     }
 
-    /// Takes all that is in force elsewhere: a list after a gap, or one from disk.
-    pub fn merge(&mut self, other: &InForce) {
+    /// Merges the purges in force elsewhere, from a list after a gap or from disk.
+    pub fn merge(&mut self, other: &PurgesInForce) {
         self.objects.merge(&other.objects);
         self.groups.merge(&other.groups);
         self.tags.merge(&other.tags);
@@ -142,8 +142,8 @@
         self.compile_patterns();
     }
 
-    /// Makes the patterns ready to be matched all at once. Beyond their capacity the one that is over first counts as
-    /// everything, and so does what can't be matched.
+    /// Compiles the patterns into one set. Patterns above the capacity, in order of their expiry, and patterns that
+    /// cannot be compiled count as purges of everything.
     fn compile_patterns(&mut self) {
         self.limit_patterns();
         let mut globs = GlobSetBuilder::new();
@@ -159,7 +159,7 @@
         }
         match globs.build() {
             Ok(globs) => (self.globs, self.glob_marks) = (Arc::new(globs), marks),
-            // Too large a set to match.
+            // The set is too large to compile.
             Err(_) => {
                 marks.iter().for_each(|mark| self.everything.merge(*mark));
                 (self.globs, self.glob_marks) = (Arc::new(GlobSet::empty()), Vec::new());
@@ -170,43 +170,44 @@
 
     fn limit_patterns(&mut self) {
         while self.patterns.len() > self.capacity.patterns {
-            let by_end = self.patterns.iter().min_by_key(|(pattern, mark)| (mark.until, (*pattern).clone()));
-            let first = by_end.map(|(pattern, _)| pattern.clone());
+            let by_expiry =
+                self.patterns.iter().min_by_key(|(pattern, mark)| (mark.expires_at, (*pattern).clone()));
+            let first = by_expiry.map(|(pattern, _)| pattern.clone());
             let Some(mark) = first.and_then(|pattern| self.patterns.remove(&pattern)) else { break };
             self.everything.merge(mark);
         }
     }
 
-    /// Drops what is over.
+    /// Drops expired marks.
     pub fn expire(&mut self, now: Micros) {
         self.objects.expire(now);
         self.groups.expire(now);
         self.tags.expire(now);
-        // Between changes of the tags it may be too strict; here it is made exact again.
-        self.any_tag = self.tags.latest(now).unwrap_or_default();
-        if !self.everything.holds(now) {
+        // Expired tags make `any_tag` too strict; it is recomputed here.
+        self.any_tag = self.tags.merged(now).unwrap_or_default();
+        if !self.everything.is_in_force(now) {
             self.everything = Mark::default();
         }
         let before = self.patterns.len();
-        self.patterns.retain(|_, mark| mark.holds(now));
+        self.patterns.retain(|_, mark| mark.is_in_force(now));
         if self.patterns.len() != before {
             self.compile_patterns();
         }
     }
 
-    /// The moment from which on a copy must have been made to be served; `None`: no purge covers it. The cost is
-    /// that of a look-up for the object, its group and each of its tags, and of one pass over its name.
+    /// Returns the time before which copies of an object are void; `None`: no purge covers it. The cost is one lookup
+    /// for the object, its group and each of its tags, and one pass over its name.
     pub fn void_before(&self, requested: &RequestedObject, now: Micros) -> Option<Micros> {
-        let in_force = |mark: &Mark| mark.holds(now).then_some(mark.when);
+        let active_mark = |mark: &Mark| mark.is_in_force(now).then_some(mark.void_before);
         let by_object = self.objects.get(&requested.object, now);
         let by_group = self.groups.get(&requested.group, now);
         let by_tag = match requested.tags {
             Some(tags) => tags.iter().filter_map(|tag| self.tags.get(tag, now)).max(),
-            // Not known is strict, never lax.
-            None => in_force(&self.any_tag),
+            // Unknown tags may be any tags, so the strictest mark applies.
+            None => active_mark(&self.any_tag),
         };
         let by_pattern = self.pattern_bound(requested.name, now);
-        [by_object, by_group, by_tag, by_pattern, in_force(&self.everything)].into_iter().flatten().max()
+        [by_object, by_group, by_tag, by_pattern, active_mark(&self.everything)].into_iter().flatten().max()
     }
 
     fn pattern_bound(&self, name: &str, now: Micros) -> Option<Micros> {
@@ -214,11 +215,11 @@
             return None;
         }
         let matches = self.globs.matches(name).into_iter();
-        let marks = matches.filter_map(|place| self.glob_marks.get(place));
-        marks.filter(|mark| mark.holds(now)).map(|mark| mark.when).max()
+        let marks = matches.filter_map(|index| self.glob_marks.get(index));
+        marks.filter(|mark| mark.is_in_force(now)).map(|mark| mark.void_before).max()
     }
 
-    /// How many marks there are: of objects, groups, tags and patterns.
+    /// Returns the number of marks of objects, groups, tags and patterns.
     pub fn counts(&self) -> [usize; 4] {
         [self.objects.exact_len(), self.groups.exact_len(), self.tags.exact_len(), self.patterns.len()]
     }
--- a/src/purges/marks.rs
+++ b/src/purges/marks.rs
@@ -1,8 +1,8 @@
-//! Bounded tables of marks: exact for as many keys as there is capacity, and by hash for the rest.
+//! Bounded tables of marks: exact for up to `capacity` keys, and by hash bucket for the others.
 //!
-//! Marks merge by maximum, so that purges that are heard in different orders, twice, or through a list of what is in
-//! force, end in the same state. What finds no capacity goes into buckets that stand for many keys each, and so only ever
-//! makes the bound stricter.
+//! Marks merge by maximum, so that purges received in different orders, twice, or as a list of those in force, give the
+//! same state. Marks above the capacity are merged into hash buckets shared by many keys, which can only make the bound
+//! stricter.
 
 use crate::routing::events::Micros;
 use rustc_hash::FxHashMap;
@@ -11,34 +11,34 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Buckets for what finds no place of its own; 16 bytes each.
+/// Number of hash buckets for keys above the capacity; 16 bytes each.
 const BUCKETS: usize = 1024;
 
-/// Copies made before `when` are void, until `until`.
+/// Copies made before `void_before` are void, until `expires_at`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Mark {
-    /// Copies made before it are void.
-    pub when: Micros,
-    /// Nothing of it holds any more.
-    pub until: Micros,
+    /// Copies made before this time are void.
+    pub void_before: Micros,
+    /// Time at which the mark expires.
+    pub expires_at: Micros,
 }
 
 impl Mark {
-    /// Merges another one by the maximum of each moment.
+    /// Merges another mark by taking the maximum of each time.
     pub fn merge(&mut self, other: Mark) {
-        self.when = self.when.max(other.when);
-        self.until = self.until.max(other.until);
+        self.void_before = self.void_before.max(other.void_before);
+        self.expires_at = self.expires_at.max(other.expires_at);
     }
 
-    /// Whether it is in force.
-    pub fn holds(&self, now: Micros) -> bool {
-        now < self.until
+    /// Returns whether the mark is in force.
+    pub fn is_in_force(&self, now: Micros) -> bool {
+        now < self.expires_at
     }
 }
 
-/// What can be a key of marks.
+/// Key of a mark.
 pub(super) trait MarkKey: Clone + Ord + Hash {
-    /// The bucket that stands for it.
+    /// Returns the index of the key's hash bucket.
     fn bucket(&self) -> usize;
 }
 
@@ -58,42 +58,42 @@
 #[derive(Clone, Debug)]
 pub(super) struct MarkTable<K> {
     exact: FxHashMap<K, Mark>,
-    /// The same by their ends, so that those that are over, or must make room, are found at once.
-    ends: BTreeSet<(Micros, K)>,
+    /// The keys of `exact` by expiry, to find those that are expired or must be moved to a bucket.
+    by_expiry: BTreeSet<(Micros, K)>,
     capacity: usize,
-    /// Filled only once there was no capacity.
+    /// Hash buckets; empty until the capacity is first exceeded.
     buckets: Vec<Mark>,
 }
 
 impl<K: MarkKey> MarkTable<K> {
-    /// An empty one with a place of its own for so many keys.
+    /// Creates an empty table that tracks up to `capacity` keys exactly.
     pub fn new(capacity: usize) -> Self {
-        MarkTable { exact: FxHashMap::default(), ends: BTreeSet::new(), capacity, buckets: Vec::new() }
+        MarkTable { exact: FxHashMap::default(), by_expiry: BTreeSet::new(), capacity, buckets: Vec::new() }
     }
 
-    /// How many keys have a place of their own.
+    /// Returns the number of keys that are tracked exactly.
     pub fn exact_len(&self) -> usize {
         self.exact.len()
     }
 
     /// Adds a mark.
     pub fn add(&mut self, key: K, mark: Mark) {
-        let kept = self.exact.entry(key.clone()).or_default();
-        let old_end = kept.until;
-        kept.merge(mark);
-        let new_end = kept.until;
-        if old_end != new_end {
-            self.ends.remove(&(old_end, key.clone()));
-            self.ends.insert((new_end, key));
+        let merged = self.exact.entry(key.clone()).or_default();
+        let old_expiry = merged.expires_at;
+        merged.merge(mark);
+        let new_expiry = merged.expires_at;
+        if old_expiry != new_expiry {
+            self.by_expiry.remove(&(old_expiry, key.clone()));
+            self.by_expiry.insert((new_expiry, key));
         }
         if self.exact.len() > self.capacity {
-            self.move_first_to_bucket();
+            self.move_earliest_expiry_to_bucket();
         }
     }
 
-    /// The one that is over first makes room; its bucket stands for it, and for more.
-    fn move_first_to_bucket(&mut self) {
-        let Some((_, first)) = self.ends.pop_first() else { return };
+    /// Moves the mark that expires first to its hash bucket.
+    fn move_earliest_expiry_to_bucket(&mut self) {
+        let Some((_, first)) = self.by_expiry.pop_first() else { return };
         if let Some(mark) = self.exact.remove(&first) {
             self.add_to_bucket(first.bucket(), mark);
         }
@@ -104,23 +104,28 @@
         self.buckets[bucket].merge(mark);
     }
 
-    /// Copies of a key made before this are void; `None`: nothing in force covers it.
+    /// Returns the time before which copies of a key are void; `None`: no mark in force covers it.
     pub fn get(&self, key: &K, now: Micros) -> Option<Micros> {
         let exact = self.exact.get(key).copied();
         let bucket = self.buckets.get(key.bucket()).copied();
-        exact.into_iter().chain(bucket).filter(|mark| mark.holds(now)).map(|mark| mark.when).max()
+        exact
+            .into_iter()
+            .chain(bucket)
+            .filter(|mark| mark.is_in_force(now))
+            .map(|mark| mark.void_before)
+            .max()
     }
 
-    /// The latest of all that hold. Grows with their number: kept by the owner between changes.
-    pub fn latest(&self, now: Micros) -> Option<Mark> {
-        let all = self.exact.values().chain(&self.buckets).filter(|mark| mark.holds(now));
+    /// Returns all marks in force, merged. The cost grows with their number, so the caller caches the result.
+    pub fn merged(&self, now: Micros) -> Option<Mark> {
+        let all = self.exact.values().chain(&self.buckets).filter(|mark| mark.is_in_force(now));
         all.copied().reduce(|mut latest, mark| {
             latest.merge(mark);
             latest
         })
     }
 
-    /// Takes all marks of another table.
+    /// Merges all marks of another table.
     pub fn merge(&mut self, other: &Self) {
         for (key, mark) in &other.exact {
             self.add(key.clone(), *mark);
@@ -132,14 +137,14 @@
         }
     }
 
-    /// Drops what is over.
+    /// Drops expired marks.
     pub fn expire(&mut self, now: Micros) {
-        while self.ends.first().is_some_and(|(until, _)| *until <= now) {
-            if let Some((_, key)) = self.ends.pop_first() {
+        while self.by_expiry.first().is_some_and(|(expires_at, _)| *expires_at <= now) {
+            if let Some((_, key)) = self.by_expiry.pop_first() {
                 self.exact.remove(&key);
             }
         }
-        if self.buckets.iter().all(|mark| !mark.holds(now)) {
+        if self.buckets.iter().all(|mark| !mark.is_in_force(now)) {
             self.buckets = Vec::new();
         }
     }
--- a/src/purges/mod.rs
+++ b/src/purges/mod.rs
@@ -1,8 +1,8 @@
-//! Purges in force: what a purge covers, and from which moment on a copy must have been made to be served.
+//! Purges in force: their scopes, and the creation time from which a copy may still be served.
 //!
-//! A core: no clock, no input, no output. [`purge`] is one purge and its checks, `marks` the bounded tables, and
-//! [`in_force`] what all purges together ask for. [`log`] follows the purge log of the whole fleet, [`cut_off`] says why
-//! that was not possible, [`recent`] is the router's memory of the last purges.
+//! The module does no I/O and reads no clock. [`purge`] holds one purge and its validation, `marks` the bounded tables,
+//! and [`in_force`] the combined effect of all purges. [`log`] follows the fleet-wide purge log, [`cut_off`] finds the
+//! cause when an instance cannot follow it, and [`recent`] holds the recent purges for the router.
 
 pub mod cut_off;
 pub mod in_force;
@@ -13,5 +13,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use self::in_force::{Capacity, InForce, RequestedObject};
-pub use self::purge::{InvalidPurge, Purge, PurgeScope, MAX_COVERS};
+pub use self::in_force::{Capacity, PurgesInForce, RequestedObject};
+pub use self::purge::{InvalidPurge, Purge, PurgeScope, MAX_SCOPES};
--- a/src/purges/purge.rs
+++ b/src/purges/purge.rs
@@ -1,4 +1,4 @@
-//! One purge: what it covers, and whether it can be used.
+//! One purge: its scopes and its validation.
 
 use crate::routing::events::Micros;
 use globset::Glob;
@@ -6,70 +6,70 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Longest tag and longest pattern, in bytes.
+/// Maximum length of a tag or a pattern, in bytes.
 const MAX_TEXT_BYTES: usize = 256;
-/// Characters of a text that can't be used that an error shows.
+/// Maximum number of characters of an invalid text that an error shows.
 const MAX_SHOWN_CHARS: usize = 40;
-/// Most covers of one purge.
-pub const MAX_COVERS: usize = 10_000;
+/// Maximum number of scopes of one purge.
+pub const MAX_SCOPES: usize = 10_000;
 
-/// What one part of a purge covers.
+/// One scope of a purge.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PurgeScope {
     /// One object.
     Object(u64),
-    /// All objects of a group.
+    /// All objects of a purge group.
     Group(u64),
     /// All objects that have a tag.
     Tag(Arc<str>),
-    /// All objects whose name fits a pattern; `*` is everything.
+    /// All objects whose name matches a glob pattern; `*` matches every object.
     Pattern(Arc<str>),
 }
 
-/// One purge. Moments are of the origin's clock, in microseconds.
+/// One purge. Times are on the origin's clock, in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// Its number: its place in the one order.
+    /// Number of the purge in the total order.
     pub number: u64,
     /// Copies made before this moment are void.
-    pub when: Micros,
-    /// It is in force until then; no copy from before it is left anywhere after that.
-    pub until: Micros,
-    /// What it covers.
+    pub purged_at: Micros,
+    /// Time at which the purge expires: no copy from before the purge remains anywhere.
+    pub expires_at: Micros,
+    /// The purged scopes.
     pub scopes: Vec<PurgeScope>,
 }
 
-/// Why a purge can't be used. It is refused as a whole.
+/// Reason why a purge is invalid. It is rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidPurge {
-    /// It covers nothing, or too much.
-    #[error("it covers {0} things; 1 to {MAX_COVERS} may be")]
-    Covers(usize),
+    /// The purge has no scopes, or too many.
+    #[error("the purge has {0} scopes; 1 to {MAX_SCOPES} are allowed")]
+    ScopeCount(usize),
     /// A tag is empty, or too long.
-    #[error("'{0}' can't be a tag: 1 to {MAX_TEXT_BYTES} bytes")]
+    #[error("'{0}' is not a valid tag: 1 to {MAX_TEXT_BYTES} bytes are allowed")]
     Tag(String),
-    /// A pattern can't be read, and why.
-    #[error("pattern '{0}' can't be used: {1}")]
+    /// A pattern is invalid, with the reason.
+    #[error("pattern '{0}' is invalid: {1}")]
     Pattern(String, String),
-    /// It ends before it begins.
-    #[error("it ends before it begins")]
-    Term,
+    /// The purge expires before it takes effect.
+    #[error("the purge expires before it takes effect")]
+    Expiry,
 }
 
 impl Purge {
-    /// Checks that all of it can be used.
+    /// Validates the purge.
     ///
     /// # Errors
-    /// Something of it can't.
+    /// The number of scopes, the expiry, a tag or a pattern is invalid.
     pub fn check(&self) -> Result<(), InvalidPurge> {
-        if !(1..=MAX_COVERS).contains(&self.scopes.len()) {
-            return Err(InvalidPurge::Covers(self.scopes.len()));
+        if !(1..=MAX_SCOPES).contains(&self.scopes.len()) {
+            return Err(InvalidPurge::ScopeCount(self.scopes.len()));
         }
-        if self.until <= self.when {
-            return Err(InvalidPurge::Term);
+        if self.expires_at <= self.purged_at {
+            return Err(InvalidPurge::Expiry);
         }
-        for cover in &self.scopes {
-            match cover {
+        for scope in &self.scopes {
+            match scope {
                 PurgeScope::Tag(tag) if !(1..=MAX_TEXT_BYTES).contains(&tag.len()) => {
                     return Err(InvalidPurge::Tag(shortened(tag)));
                 }
@@ -84,11 +84,11 @@
 /// Parses a pattern.
 ///
 /// # Errors
-/// It is empty, too long, or no pattern.
+/// The pattern is empty, too long, or not a valid glob.
 pub(super) fn parse_pattern(pattern: &str) -> Result<Glob, InvalidPurge> {
     let invalid = |reason: String| InvalidPurge::Pattern(shortened(pattern), reason);
     if !(1..=MAX_TEXT_BYTES).contains(&pattern.len()) {
-        return Err(invalid(format!("1 to {MAX_TEXT_BYTES} bytes may be")));
+        return Err(invalid(format!("1 to {MAX_TEXT_BYTES} bytes are allowed")));
     }
     Glob::new(pattern).map_err(|error| invalid(error.kind().to_string()))
 }
--- a/src/routing/freshness.rs
+++ b/src/routing/freshness.rs
@@ -82,7 +82,7 @@
 
     /// Returns the time of the latest purge of a request's object or purge group.
     pub(super) fn purged_at(&self, request: &Request) -> Option<Micros> {
-        self.purges.at(request.object, request.purge_group)
+        self.purges.latest_purge(request.object, request.purge_group)
     }
 
     fn grace_tenths(&self) -> f64 {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -40,7 +40,7 @@
 use self::random::RandomSequence;
 use self::request::{PendingRequest, ResponseState};
 use self::retry::RetryBudget;
-use crate::purges::recent::Recent;
+use crate::purges::recent::RecentPurges;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
     load: RequestLoad,
     retry_budget: RetryBudget,
     transfer_times: TransferTimes,
-    purges: Recent,
+    purges: RecentPurges,
     /// Whether the router has requested a watch of the endpoint list that has not failed since.
     watching: bool,
     constraints: ConstraintTracker,
@@ -91,7 +91,7 @@
             Event::ResponseStarted { request } => self.mark_response_started(&request),
             Event::ClientDisconnected { request } => self.abandon_request(request, actions),
             Event::Purged { object, purge_group, age } => self.record_purge(object, purge_group, age),
-            Event::BoundedStaleness(age) => self.purges.bound(age),
+            Event::BoundedStaleness(age) => self.purges.set_staleness_bound(age),
             Event::Timer { token } => self.handle_overdue_attempt(token),
         }
     }
@@ -108,7 +108,7 @@
         let elapsed = now.saturating_sub(self.now.max(started_at));
         self.now = self.now.max(now);
         self.load.advance(elapsed, self.now - started_at.min(self.now));
-        self.purges.pass_time(self.now);
+        self.purges.advance_clock(self.now);
     }
 
     fn request_watch(&mut self, actions: &mut Vec<Action>) {
@@ -153,7 +153,7 @@
         // copy.
         let retention = self.settings.purge_propagation_time.saturating_mul(2);
         let purged_at = self.now.saturating_sub(age);
-        self.purges.told(object, purge_group, purged_at, self.now.saturating_add(retention));
+        self.purges.record(object, purge_group, purged_at, self.now.saturating_add(retention));
     }
 
     fn mark_response_started(&mut self, request: &Id) {
--- a/tests/core_decisions/purges.rs
+++ b/tests/core_decisions/purges.rs
@@ -1,9 +1,9 @@
-//! Purges in force with little room, what is remembered of recent ones, and the purge log as an instance follows it.
+//! Decisions of purges in force with small capacities, of recent purges, and of the purge log that an instance follows.
 
 use crate::digest::{expect, Digest};
 use larchdale::purges::log::{append, Action, Head, LogError, Notice, PurgeLog, Settings, ENTRIES};
-use larchdale::purges::recent::Recent;
-use larchdale::purges::{Capacity, InForce, InvalidPurge, Purge, PurgeScope, RequestedObject};
+use larchdale::purges::recent::RecentPurges;
+use larchdale::purges::{Capacity, InvalidPurge, Purge, PurgeScope, PurgesInForce, RequestedObject};
 use larchdale::routing::events::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -18,7 +18,7 @@
     format!("t{number}").into()
 }
 
-fn cover(rng: &mut Pcg32) -> PurgeScope {
+fn random_scope(rng: &mut Pcg32) -> PurgeScope {
     match rng.random_range(0..8) {
         0..3 => PurgeScope::Object(rng.random_range(0..30)),
         3..5 => PurgeScope::Group(rng.random_range(0..8)),
@@ -27,8 +27,8 @@
     }
 }
 
-fn write_cover(digest: &mut Digest, cover: &PurgeScope) {
-    match cover {
+fn write_scope(digest: &mut Digest, scope: &PurgeScope) {
+    match scope {
         PurgeScope::Object(object) => {
             digest.tag(1);
             digest.number(*object);
@@ -49,10 +49,10 @@
 }
 
 fn in_force(seed: u64) -> u64 {
-    let (mut rng, mut digest, mut covered) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
-    let room = Capacity { objects: 9, tags: 6, patterns: 3 };
-    let mut states = [InForce::new(room), InForce::new(room)];
-    let (mut recent, mut now) = (Recent::default(), 1_000);
+    let (mut rng, mut digest, mut covered_count) = (Pcg32::seed_from_u64(seed), Digest::new(), 0);
+    let capacity = Capacity { objects: 9, tags: 6, patterns: 3 };
+    let mut states = [PurgesInForce::new(capacity), PurgesInForce::new(capacity)];
+    let (mut recent, mut now) = (RecentPurges::default(), 1_000);
     for number in 0..3_000 {
         now += rng.random_range(0..10);
         let at = rng.random_range(0..2);
@@ -62,25 +62,26 @@
                 states[at].merge(&other);
             }
             1..5 => states[at].expire(now),
-            5 if rng.random_ratio(1, 10) => states[at].unreadable(now, now + 40),
-            6 => recent.bound(rng.random_bool(0.3).then(|| rng.random_range(0..90))),
+            5 if rng.random_ratio(1, 10) => states[at].add_unreadable(now, now + 40),
+            6 => recent.set_staleness_bound(rng.random_bool(0.3).then(|| rng.random_range(0..90))),
             7..14 => {
-                let covers = (0..rng.random_range(0..4)).map(|_| cover(&mut rng)).collect();
+                let scopes = (0..rng.random_range(0..4)).map(|_| random_scope(&mut rng)).collect();
                 let until = now + rng.random_range(0..300);
-                let purge = Purge { number, when: now - rng.random_range(0..50), until, scopes: covers };
+                let purge =
+                    Purge { number, purged_at: now - rng.random_range(0..50), expires_at: until, scopes };
                 let refused = states[at].apply(&purge).err();
                 digest.option(refused, |digest, unusable| {
                     digest.tag(match unusable {
-                        InvalidPurge::Covers(_) => 1,
+                        InvalidPurge::ScopeCount(_) => 1,
                         InvalidPurge::Tag(_) => 2,
                         InvalidPurge::Pattern(..) => 3,
-                        InvalidPurge::Term => 4,
+                        InvalidPurge::Expiry => 4,
                     });
                 });
                 let object = rng.random_bool(0.5).then(|| rng.random_range(0..30));
-                recent.told(object, rng.random_range(0..8), purge.when, until);
+                recent.record(object, rng.random_range(0..8), purge.purged_at, until);
             }
-            _ => recent.pass_time(now),
+            _ => recent.advance_clock(now),
         }
         for state in &states {
             state.counts().into_iter().for_each(|count| digest.count(count));
@@ -90,15 +91,15 @@
                 let tags: Vec<_> =
                     (0..rng.random_range(0..3)).map(|_| tag(rng.random_range(0..20))).collect();
                 let tags = rng.random_bool(0.8).then_some(&tags[..]);
-                let wanted = RequestedObject { object, group: object % 8, name: &name, tags };
-                let void = state.void_before(&wanted, now);
-                covered += usize::from(void.is_some());
-                digest.option(void, Digest::number);
-                digest.option(recent.at(object, object % 8), Digest::number);
+                let requested = RequestedObject { object, group: object % 8, name: &name, tags };
+                let void_before = state.void_before(&requested, now);
+                covered_count += usize::from(void_before.is_some());
+                digest.option(void_before, Digest::number);
+                digest.option(recent.latest_purge(object, object % 8), Digest::number);
             }
         }
     }
-    assert!(covered > 1_000, "too calm: {covered}");
+    assert!(covered_count > 1_000, "too few lookups are covered by a purge: {covered_count}");
     digest.finish()
 }
 
@@ -131,9 +132,9 @@
 
 fn write_action(digest: &mut Digest, action: &Action) {
     match action {
-        Action::Purge(cover, unix_ms) => {
+        Action::Purge(scope, unix_ms) => {
             digest.tag(1);
-            write_cover(digest, cover);
+            write_scope(digest, scope);
             digest.number(*unix_ms);
         }
         Action::SetStalenessBound(age) => {
@@ -164,7 +165,7 @@
     }
 }
 
-/// The registry's side of a log: its head, its entries, and which of them changed since they were last told.
+/// A log in the registry: its head, its entries, and the keys that changed since the instance last read them.
 #[derive(Default)]
 struct Ring {
     head: Option<Vec<u8>>,
@@ -173,8 +174,8 @@
 }
 
 impl Ring {
-    fn append(&mut self, unix_ms: u64, covers: Vec<PurgeScope>, digest: &mut Digest) {
-        match append(self.head.as_deref(), unix_ms, covers) {
+    fn append(&mut self, unix_ms: u64, scopes: Vec<PurgeScope>, digest: &mut Digest) {
+        match append(self.head.as_deref(), unix_ms, scopes) {
             Ok((entry, [head, written])) => {
                 digest.number(entry.number);
                 digest.number(entry.when_ms);
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Something that nobody should do to a log.
-    fn spoil(&mut self, rng: &mut Pcg32) {
+    /// Corrupts the log in a way that no correct writer does.
+    fn corrupt(&mut self, rng: &mut Pcg32) {
         let Some(key) = self.entries.keys().nth(rng.random_range(0..40)).cloned() else { return };
         match rng.random_range(0..5) {
             0 => drop(self.entries.remove(&key)),
@@ -210,17 +211,17 @@
     let settings = Settings::new(Vec::new(), "/p/");
     let mut log = PurgeLog::new(&settings, 12 * S, now);
     for _ in 0..5_000 {
-        let passes = rng.random_range(0..150);
-        (now, unix_ms) = (now + passes * MS, unix_ms + passes);
+        let elapsed_ms = rng.random_range(0..150);
+        (now, unix_ms) = (now + elapsed_ms * MS, unix_ms + elapsed_ms);
         let mut actions = Vec::new();
         match rng.random_range(0..60) {
             0..16 => {
-                let covers = (0..rng.random_range(1..4)).map(|_| cover(&mut rng)).collect();
+                let scopes = (0..rng.random_range(1..4)).map(|_| random_scope(&mut rng)).collect();
                 let issuer_ms = unix_ms + rng.random_range(0..400) - 200;
-                ring.append(issuer_ms, covers, &mut digest);
+                ring.append(issuer_ms, scopes, &mut digest);
             }
             16 => ring.append(unix_ms, Vec::new(), &mut digest),
-            17 if rng.random_ratio(1, 5) => ring.spoil(&mut rng),
+            17 if rng.random_ratio(1, 5) => ring.corrupt(&mut rng),
             18 if rng.random_ratio(1, 5) => drop(ring.changed.pop()),
             19 if rng.random_ratio(1, 10) => log.set_propagation_time(rng.random_range(5..20) * S),
             20 if rng.random_ratio(1, 5) => (now, unix_ms) = (now + 3 * S, unix_ms + 3_000),
@@ -235,8 +236,8 @@
                 keys.dedup();
                 let entry = |key: &String| ring.entries.get(key).cloned();
                 let entries: Vec<_> = keys.iter().map(|key| (key.as_str(), entry(key))).collect();
-                let told = entries.iter().map(|(key, value)| (*key, value.as_deref()));
-                log.apply_changes(now, unix_ms, told, &mut actions);
+                let changes = entries.iter().map(|(key, value)| (*key, value.as_deref()));
+                log.apply_changes(now, unix_ms, changes, &mut actions);
                 confirmed = Some(now);
             }
             _ => {}
@@ -250,18 +251,21 @@
         digest.option(log.bound_tightened_at(), Digest::number);
         digest.option(log.void_before(), Digest::number);
         digest.number(log.next_deadline());
-        let figures = log.counters();
-        [figures.entries, figures.missed, figures.unusable, figures.cut_offs]
+        let counters = log.counters();
+        [counters.entries, counters.missed, counters.unusable, counters.cut_offs]
             .into_iter()
-            .for_each(|figure| digest.number(figure));
+            .for_each(|counter| digest.number(counter));
     }
-    let figures = log.counters();
-    assert!(figures.entries + log.last_number() > 30 && Head::default().number == 0, "too calm: {figures:?}");
+    let counters = log.counters();
+    assert!(
+        counters.entries + log.last_number() > 30 && Head::default().number == 0,
+        "too few entries were applied: {counters:?}"
+    );
     digest.finish()
 }
 
 #[test]
-fn purges_in_force_are_as_before() {
+fn decisions_of_purges_in_force_match_the_recorded_hashes() {
     expect(
         "the purges in force",
         in_force,
@@ -270,7 +274,7 @@
 }
 
 #[test]
-fn the_purge_log_decides_as_before() {
+fn decisions_of_the_purge_log_match_the_recorded_hashes() {
     expect(
         "the purge log",
         log,
