--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -145,7 +145,7 @@
     /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to
     /// an endpoint, in transfers at full rate (the instance's part of [`max_warming_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
-        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
+        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), peer_fill: lateral };
         let assignment = |shard: &Shard| ShardAssignment {
             start: shard.start,
             endpoint: shard.home.clone(),
