--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! What operators configure, from three sources: the platform's file, the deployment's settings in it, and the script
-//! of installations of their own.
+//! Configuration from three sources: the platform's configuration file, the deployment's settings inside that file,
+//! and an optional settings script.
 
 pub mod platform;
 pub mod product;
--- a/src/config/product/arguments.rs
+++ b/src/config/product/arguments.rs
@@ -1,27 +1,28 @@
-//! The named arguments of one call of a script, taken one by one and checked; what was not taken is unknown.
+//! Checks the named arguments of one call in a settings script. Each supported argument is taken by name; any argument
+//! that remains is unknown and reported as an error.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Edits up to which an unknown argument is taken for a misspelt one.
+/// Maximum edit distance at which an unknown argument is reported as a misspelling of a known one.
 const MAX_MISSPELLING: usize = 3;
 
-/// What is wrong with a call.
+/// An invalid call in a settings script.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{problem} (hint: {hint})")]
 pub struct CallError {
-    /// Which argument; `None`: the call as a whole.
+    /// The invalid argument; `None` if the error concerns the whole call.
     pub argument: Option<String>,
-    /// What is wrong.
+    /// Description of the error.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct the call.
     pub hint: String,
 }
 
 impl CallError {
-    /// Something wrong with the call as a whole.
+    /// Creates an error that concerns the whole call.
     pub fn whole(problem: String, hint: &str) -> Self {
         CallError { argument: None, problem, hint: hint.to_owned() }
     }
@@ -31,7 +32,7 @@
     }
 }
 
-/// The arguments of one call.
+/// The arguments of one call, from which supported ones are taken by name.
 #[derive(Debug)]
 pub struct Arguments {
     call: &'static str,
@@ -39,7 +40,7 @@
     known: Vec<&'static str>,
 }
 
-/// What a value is, in a script's words.
+/// Returns the Starlark name of a value's type, with its article.
 fn kind(value: &Value) -> &'static str {
     match value {
         Value::Null => "None",
@@ -52,7 +53,7 @@
 }
 
 impl Arguments {
-    /// The arguments of a call.
+    /// Wraps the arguments given to a call; `call` is the function's name.
     pub fn new(call: &'static str, given: BTreeMap<String, Value>) -> Self {
         Arguments { call, given, known: Vec::new() }
     }
@@ -62,14 +63,15 @@
         self.given.remove(name).filter(|value| !value.is_null())
     }
 
-    /// A value that a call must name. Asked after [`Arguments::finish`], which reports a misspelt one better.
+    /// Returns the value of a required argument, or an error if it is absent. Call this after [`Arguments::finish`],
+    /// whose error for a misspelt argument is more precise.
     pub fn required<T>(call: &str, name: &str, value: Option<T>) -> Result<T, CallError> {
         value.ok_or_else(|| {
-            CallError::whole(format!("{call}() lacks {name}"), "it has no usual value; name one")
+            CallError::whole(format!("{call}() requires {name}"), "it has no default; add it to the call")
         })
     }
 
-    /// A whole number in a range, if it is there.
+    /// Takes an optional integer argument, checks its range and passes it to `set`.
     pub fn number(
         &mut self,
         name: &'static str,
@@ -77,7 +79,7 @@
         set: impl FnOnce(u64),
     ) -> Result<(), CallError> {
         let Some(value) = self.take(name) else { return Ok(()) };
-        let hint = format!("a whole number from {} to {}", range.start(), range.end());
+        let hint = format!("an integer from {} to {}", range.start(), range.end());
         if !value.is_number() {
             return Err(CallError::at(name, format!("{name} is {}, not a number", kind(&value)), hint));
         }
@@ -90,7 +92,7 @@
         Ok(())
     }
 
-    /// Yes or no, if it is there.
+    /// Takes an optional boolean argument.
     pub fn flag(&mut self, name: &'static str) -> Result<Option<bool>, CallError> {
         match self.take(name) {
             None => Ok(None),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A text that `read` can use, if it is there.
+    /// Takes an optional string argument and parses it with `read`.
     pub fn text<T>(
         &mut self,
         name: &'static str,
@@ -118,7 +120,7 @@
         read(text).map(Some).map_err(unusable)
     }
 
-    /// A list of texts, each of which `read` can use, none twice, if it is there.
+    /// Takes an optional list of strings, parses each with `read` and rejects duplicates.
     pub fn list<T: PartialEq>(
         &mut self,
         name: &'static str,
@@ -145,18 +147,18 @@
             let one = read(text)
                 .map_err(|problem| CallError::at(name, format!("{name}[{at}]: {problem}"), hint.clone()))?;
             if read_parts.contains(&one) {
-                return Err(CallError::at(name, format!("{name}[{at}] is there twice: '{text}'"), hint));
+                return Err(CallError::at(name, format!("{name}[{at}] is a duplicate: '{text}'"), hint));
             }
             read_parts.push(one);
         }
         Ok(Some(read_parts))
     }
 
-    /// Checks that no unknown argument is left.
+    /// Checks that every given argument was taken.
     ///
     /// # Errors
     ///
-    /// The first unknown argument, with the known one that it resembles.
+    /// Reports the first unknown argument, with the most similar known one as a hint.
     pub fn finish(&self) -> Result<(), CallError> {
         let Some(unknown) = self.given.keys().next() else { return Ok(()) };
         let distance = |known: &&&str| strsim::damerau_levenshtein(unknown, known);
@@ -166,6 +168,6 @@
             }
             _ => format!("{}() takes {}", self.call, self.known.join(", ")),
         };
-        Err(CallError::at(unknown, format!("{}() knows no {unknown}", self.call), hint))
+        Err(CallError::at(unknown, format!("{}() has no argument {unknown}", self.call), hint))
     }
 }
--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -4,10 +4,10 @@
 use crate::{failover, growth, placement, purges};
 use serde_json::{json, Value};
 
-/// Kilobytes in a megabyte, as the script counts them.
+/// Kilobytes in one megabyte of the script's `_mb` arguments.
 const KB_PER_MB: f64 = 1000.0;
 
-/// What a script sets, as JSON.
+/// Returns the settings of a script as JSON.
 pub fn describe(product: &Product) -> Value {
     json!({
         "registry": product.registry.as_ref().map(describe_registry),
--- a/src/config/product/fleet_calls.rs
+++ b/src/config/product/fleet_calls.rs
@@ -1,5 +1,5 @@
-//! The calls of a script that are about the fleet as a whole: `site_plan`, `shards`, `quiet`, `blackout`,
-//! `growth`, `purge_log`.
+//! The script calls that configure fleet-wide features: `site_plan`, `shards`, `quiet`, `blackout`, `growth` and
+//! `purge_log`.
 
 use super::arguments::{Arguments, CallError};
 use super::registry::{parse_endpoint, parse_prefix};
@@ -10,7 +10,7 @@
 use jiff::Timestamp;
 use std::path::PathBuf;
 
-/// Windows and blackouts that one script may set.
+/// Maximum number of quiet windows and blackouts in one script.
 const MAX_WINDOWS: usize = 256;
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
@@ -34,7 +34,7 @@
     arguments.number(name, least..=most, |number| *to = number * MICROS_PER_MS)
 }
 
-/// The arguments of `site_plan(...)`, checked.
+/// Parses and checks the arguments of `site_plan(...)`.
 pub(super) fn site_plan(mut arguments: Arguments) -> Result<failover::Settings, CallError> {
     let mut settings = failover::Settings::default();
     ms(&mut arguments, "doubt_ms", 100, 60_000, &mut settings.suspect_after)?;
@@ -56,7 +56,7 @@
                 settings.unreachable_after / MICROS_PER_MS,
                 settings.suspect_after / MICROS_PER_MS
             ),
-            "a site is doubtful before it is lost; raise lost_ms",
+            "a site is suspected before it counts as lost; raise lost_ms",
         ));
     }
     if settings.max_hold_off < settings.hold_off {
@@ -72,7 +72,7 @@
     Ok(settings)
 }
 
-/// The arguments of `shards(...)`, checked.
+/// Parses and checks the arguments of `shards(...)`.
 pub(super) fn shards(mut arguments: Arguments) -> Result<placement::Settings, CallError> {
     let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
     let prefix = arguments.text("prefix", parse_prefix)?;
@@ -92,13 +92,13 @@
     if settings.first > settings.most {
         return Err(CallError::whole(
             format!("shards(): first ({}) is above most ({})", settings.first, settings.most),
-            "raise most, or begin with fewer",
+            "raise most, or lower first",
         ));
     }
     Ok(settings)
 }
 
-/// The arguments of `growth(...)`, checked.
+/// Parses and checks the arguments of `growth(...)`.
 pub(super) fn growth(mut arguments: Arguments) -> Result<growth::Settings, CallError> {
     let mut settings = growth::Settings::default();
     ms(&mut arguments, "bucket_ms", 2_000, 86_400_000, &mut settings.bucket)?;
@@ -117,13 +117,13 @@
                 settings.merge * 100.0,
                 settings.split * 100.0
             ),
-            "shards would be merged and split again in turn; lower merge_percent",
+            "shards would alternately be merged and split; lower merge_percent",
         ));
     }
     Ok(settings)
 }
 
-/// The arguments of `purge_log(...)`, checked.
+/// Parses and checks the arguments of `purge_log(...)`.
 pub(super) fn purge_log(mut arguments: Arguments) -> Result<purges::log::Settings, CallError> {
     let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
     let prefix = arguments.text("prefix", parse_prefix)?;
@@ -142,7 +142,7 @@
                 (settings.check_interval + settings.check_timeout) / MICROS_PER_MS,
                 settings.max_staleness / MICROS_PER_MS
             ),
-            "one endpoint that falls silent would cut the instance off; lower them, or raise staleness_ms",
+            "a single unresponsive endpoint would cut the instance off; lower them, or raise staleness_ms",
         ));
     }
     Ok(settings)
@@ -152,14 +152,14 @@
     let number = DAYS.iter().position(|day| *day == text);
     number
         .map(|number| number as u8)
-        .ok_or_else(|| format!("'{text}' is no day; the days are {}", DAYS.join(", ")))
+        .ok_or_else(|| format!("'{text}' is not a day of the week; the days are {}", DAYS.join(", ")))
 }
 
 fn minute(text: &str) -> Result<u16, String> {
-    parse_minute(text).ok_or_else(|| format!("'{text}' is no time of day; write it as \"22:30\""))
+    parse_minute(text).ok_or_else(|| format!("'{text}' is not a time of day; write it as \"22:30\""))
 }
 
-/// The minute of the day of a time as `22:30`.
+/// Parses a time of day such as `22:30` into minutes since midnight.
 fn parse_minute(text: &str) -> Option<u16> {
     let is_two_digits = |part: &str| part.len() == 2 && part.bytes().all(|byte| byte.is_ascii_digit());
     let (hour, minute) = text.split_once(':')?;
@@ -172,19 +172,19 @@
 
 fn time_zone(text: &str) -> Result<TimeZone, String> {
     TimeZone::get(text).map_err(|_| {
-        format!("'{text}' is no time zone; write its name in the time zone data, as \"America/Vancouver\"")
+        format!("'{text}' is not a time zone; use a name from the time zone database, such as \"America/Vancouver\"")
     })
 }
 
 fn moment(text: &str) -> Result<Timestamp, String> {
     text.parse().map_err(|_| {
-        format!("'{text}' is no moment; write it with its offset, as \"2026-12-24T22:00:00-08:00\"")
+        format!("'{text}' is not a timestamp; write it with its UTC offset, as \"2026-12-24T22:00:00-08:00\"")
     })
 }
 
 fn zone_name(text: &str) -> Result<String, String> {
     if text.is_empty() || text.len() > 64 {
-        return Err("a zone's name has 1 to 64 bytes".to_owned());
+        return Err("a zone name must have 1 to 64 bytes".to_owned());
     }
     Ok(text.to_owned())
 }
@@ -198,14 +198,14 @@
     let ends = Arguments::required(call, "ends", ends)?;
     if ends <= starts {
         return Err(CallError::whole(
-            format!("{call}(): it ends at {ends}, which is not after {starts}"),
-            "swap them",
+            format!("{call}(): ends ({ends}) is not after starts ({starts})"),
+            "swap starts and ends",
         ));
     }
     Ok((starts, ends))
 }
 
-/// Takes one call of `quiet(...)`.
+/// Parses one call of `quiet(...)` and adds its window to the calendar.
 pub(super) fn quiet(mut arguments: Arguments, calendar: &mut Calendar) -> Result<(), CallError> {
     let zone = arguments.text("zone", zone_name)?;
     let days = arguments.list("days", 1..=7, day)?;
@@ -219,8 +219,8 @@
     let window = match (weekly, once) {
         (true, true) => {
             return Err(CallError::whole(
-                "quiet() is given both a weekly window and one of once".to_owned(),
-                "make two calls: days, since, until and tz in one, starts and ends in the other",
+                "quiet() has both a weekly window and a one-time window".to_owned(),
+                "make two calls: one with days, since, until and tz, the other with starts and ends",
             ));
         }
         (_, true) => {
@@ -238,7 +238,7 @@
     check_window_count(calendar)
 }
 
-/// Takes one call of `blackout(...)`.
+/// Parses one call of `blackout(...)` and adds it to the calendar.
 pub(super) fn blackout(mut arguments: Arguments, calendar: &mut Calendar) -> Result<(), CallError> {
     let zone = arguments.text("zone", zone_name)?;
     let (starts, ends) = (arguments.text("starts", moment)?, arguments.text("ends", moment)?);
@@ -250,29 +250,32 @@
 
 fn check_window_count(calendar: &Calendar) -> Result<(), CallError> {
     if calendar.quiet.len() + calendar.blackouts.len() > MAX_WINDOWS {
-        let problem = format!("over {MAX_WINDOWS} windows and blackouts");
-        return Err(CallError::whole(problem, "leave out those that are over, or join those of equal hours"));
+        let problem = format!("more than {MAX_WINDOWS} quiet windows and blackouts");
+        return Err(CallError::whole(
+            problem,
+            "remove those that have ended, or merge those with equal hours",
+        ));
     }
     Ok(())
 }
 
-/// What only shows when the whole script has run.
+/// Checks dependencies between calls, once the whole script has run.
 pub(super) fn check(product: &Product) -> Result<(), CallError> {
     let lacks = |call: &str, needs: &str, hint| {
-        Err(CallError::whole(format!("{call} is set, and {needs} is not"), hint))
+        Err(CallError::whole(format!("{call} is set, but {needs} is not"), hint))
     };
     if product.growth.is_some() && product.shards.is_none() {
         return lacks(
             "growth()",
             "shards()",
-            "growth is counted by shard; set shards(), or leave growth() out",
+            "growth is measured per shard; set shards(), or remove growth()",
         );
     }
     if product.calendar != Calendar::default() && product.shards.is_none() {
         return lacks(
             "quiet() or blackout()",
             "shards()",
-            "only shards move; set shards(), or leave the hours out",
+            "these windows only limit shard moves; set shards(), or remove the windows",
         );
     }
     Ok(())
--- a/src/config/product/mod.rs
+++ b/src/config/product/mod.rs
@@ -1,7 +1,8 @@
-//! The product's own settings: what is set beside the platform's configuration, in a script of the operators'.
+//! The product's own settings, which operators set in a script in addition to the platform's configuration.
 //!
-//! The script (Starlark, [`script`]) is run once and only calls what it sets; each call's arguments are checked
-//! here against what they may be and become typed values. Nothing is taken from a script that has any error.
+//! The script (Starlark, [`script`]) runs once and calls one function for each feature that it configures. The
+//! arguments of each call are checked here and converted to typed values. A script with any error is rejected as a
+//! whole.
 
 pub mod arguments;
 mod describe;
@@ -18,37 +19,37 @@
 
 const MICROS_PER_MS: u64 = 1_000;
 
-/// All that a script may set.
+/// The settings of a script.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Product {
-    /// The endpoints come from a key-value registry.
+    /// Key-value registry that supplies the endpoint list, if configured.
     pub registry: Option<Registry>,
-    /// The form of the log's lines, where the script sets one.
+    /// Log format, if the script sets one.
     pub log: Option<LogForm>,
-    /// The loss of a whole site is planned for.
+    /// Settings of the failover of whole sites, if enabled.
     pub site_plan: Option<crate::failover::Settings>,
-    /// Objects are kept by shards.
+    /// Settings of sharded object placement, if enabled.
     pub shards: Option<crate::placement::Settings>,
-    /// When shards may move.
+    /// Windows and blackouts that limit when shards may move.
     pub calendar: crate::placement::quiet::Calendar,
-    /// Purges come by a log in a registry.
+    /// Settings of the purge log in a registry, if enabled.
     pub purge_log: Option<crate::purges::log::Settings>,
-    /// New demand of shards is counted and forecast.
+    /// Settings of the growth measurement and forecast of shards, if enabled.
     pub growth: Option<crate::growth::Settings>,
 }
 
-/// The form of the log's lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogForm {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl LogForm {
-    /// The form of this name.
+    /// Returns the format with this name; `None` if there is none.
     pub fn named(name: &str) -> Option<Self> {
         match name {
             "text" => Some(LogForm::Text),
@@ -59,11 +60,11 @@
 }
 
 impl Product {
-    /// Takes one call of a script.
+    /// Applies one call of a script.
     ///
     /// # Errors
     ///
-    /// An argument is wrong, or a call that sets one value is repeated.
+    /// Fails if an argument is invalid, or if a call that may occur only once is repeated.
     fn call(&mut self, name: &str, arguments: Arguments) -> Result<(), CallError> {
         let is_repeated = match name {
             "registry" => self.registry.replace(Registry::from_arguments(arguments)?).is_some(),
@@ -76,13 +77,13 @@
             _ => self.log.replace(log_form(arguments)?).is_some(),
         };
         if is_repeated {
-            return Err(CallError::whole(format!("{name}() is called twice"), "leave one of the calls out"));
+            return Err(CallError::whole(format!("{name}() is called twice"), "remove one of the calls"));
         }
         Ok(())
     }
 }
 
-/// The argument of `log(...)`, checked.
+/// Parses and checks the argument of `log(...)`.
 fn log_form(mut arguments: Arguments) -> Result<LogForm, CallError> {
     let parse =
         |text: &str| LogForm::named(text).ok_or_else(|| format!("'{text}' is neither \"text\" nor \"json\""));
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -1,4 +1,4 @@
-//! The call `registry(...)`: where the key-value registry is and how it is followed.
+//! The script call `registry(...)`: the endpoints of the key-value registry and how the instance follows it.
 
 use super::arguments::{Arguments, CallError};
 use super::MICROS_PER_MS;
@@ -8,41 +8,41 @@
 
 const MAX_PREFIX_BYTES: usize = 512;
 
-/// Where the registry is and how it is followed. Times in microseconds.
+/// Endpoints of the registry, its limits and its time limits. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registry {
-    /// Its members.
+    /// Addresses of the registry's members.
     pub endpoints: Vec<SocketAddr>,
-    /// Keys below it are endpoints' records; ends with `/`.
+    /// Prefix of the keys of endpoint records; ends with `/`.
     pub prefix: String,
-    /// Keys asked for in one page of a list.
+    /// Number of keys requested in one page of a list.
     pub page: usize,
-    /// Most keys below the prefix; beyond, the last good list is kept.
+    /// Maximum number of keys below the prefix; if there are more, the last good list is kept.
     pub most_keys: usize,
-    /// Most bytes of a record; a larger one counts as unreadable.
+    /// Maximum size of a record in bytes; a larger record counts as unreadable.
     pub most_value: usize,
-    /// Most bytes of one answer.
+    /// Maximum size of one answer in bytes.
     pub most_message: usize,
-    /// How long a dial may take.
+    /// Time limit for establishing a connection.
     pub dial: Micros,
-    /// How long an answer may take.
+    /// Time limit for the answer to a call.
     pub answer: Micros,
-    /// Between two checks that the registry still talks and that nothing was missed.
+    /// Interval between checks that the registry still answers and that no change was missed.
     pub check: Micros,
-    /// A check unanswered for so long shows that the connection is silent.
+    /// Time without an answer to a check after which the connection counts as silent.
     pub silence: Micros,
-    /// Over how long instances that lose the registry at once spread their first new try.
+    /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
     pub spread: Micros,
-    /// Longest pause between two tries.
+    /// Maximum pause between two connection attempts.
     pub longest_pause: Micros,
-    /// How long a registry must have stood back before it counts as restored from a backup.
+    /// Time for which the registry's revision must stay behind before it counts as restored from a backup.
     pub restored: Micros,
-    /// The folder for the list on disk, if it is kept.
+    /// Folder in which the endpoint list is stored on disk, if set.
     pub snapshot: Option<PathBuf>,
 }
 
 impl Registry {
-    /// One at these endpoints, below this prefix, and all else as usual.
+    /// Creates settings with these endpoints and this prefix, and defaults for everything else.
     pub fn new(endpoints: Vec<SocketAddr>, prefix: &str) -> Self {
         Registry {
             endpoints,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The arguments of `registry(...)`, checked.
+    /// Parses and checks the arguments of `registry(...)`.
     pub(super) fn from_arguments(mut arguments: Arguments) -> Result<Self, CallError> {
         let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
         let prefix = arguments.text("prefix", parse_prefix)?;
@@ -91,11 +91,13 @@
 
 pub(super) fn parse_endpoint(text: &str) -> Result<SocketAddr, String> {
     if text.starts_with("https://") {
-        return Err(format!("'{text}' asks for TLS, which is not spoken; use the registry's plain port"));
+        return Err(format!(
+            "'{text}' requests TLS, which is not supported; use the registry's plaintext port"
+        ));
     }
     let plain = text.strip_prefix("http://").unwrap_or(text);
     plain.parse().map_err(|_| {
-        format!("'{text}' is not an address; write it as \"10.0.0.1:2379\" (names are not looked up)")
+        format!("'{text}' is not an address; write it as \"10.0.0.1:2379\" (host names are not resolved)")
     })
 }
 
--- a/src/config/product/script.rs
+++ b/src/config/product/script.rs
@@ -1,5 +1,5 @@
-//! Runs a settings script. Starlark has no clock, no files and no net, so the same text always gives the same
-//! values; steps and memory are bounded, and whatever is wrong is told with file, line, column and a hint.
+//! Runs a settings script. Starlark has no access to clocks, files or the network, so the same text always gives the
+//! same settings. Steps and memory are limited, and each error is reported with file, line, column and a hint.
 
 use super::arguments::{Arguments, CallError};
 use super::Product;
@@ -15,39 +15,39 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Most calls and turns of loops.
+/// Maximum number of function calls and loop iterations.
 const MAX_STEPS: u64 = 200_000;
-/// Most bytes of values. Starlark looks at this now and then, not at each one.
+/// Maximum heap size in bytes. Starlark checks this limit periodically, not on each allocation.
 const MAX_HEAP_BYTES: usize = 16 << 20;
-/// Deepest nesting of calls.
+/// Maximum depth of nested calls.
 const MAX_CALL_DEPTH: usize = 64;
-/// Longest script.
+/// Maximum size of a script in bytes.
 const MAX_SCRIPT_BYTES: u64 = 256 << 10;
 
-/// Why a script gives no settings.
+/// An error that keeps a script from producing settings.
 #[derive(Debug, Error)]
 pub enum ScriptError {
-    /// The file can't be read.
+    /// The script file can't be read.
     #[error("can't read {}: {}", .0.display(), .1)]
     Unreadable(PathBuf, std::io::Error),
-    /// It is too long.
-    #[error("{} has {} bytes; a script has {MAX_SCRIPT_BYTES} at most", .0.display(), .1)]
+    /// The script is longer than the limit.
+    #[error("{} has {} bytes; at most {MAX_SCRIPT_BYTES} are allowed", .0.display(), .1)]
     TooLong(PathBuf, u64),
-    /// It is wrong somewhere. Line and column count from 1; 0: nowhere in particular.
+    /// The script is invalid. Lines and columns start at 1; line 0 means the script as a whole.
     #[error("{}{what}", Position { path, line: *line, column: *column })]
     Wrong {
-        /// The file.
+        /// Path of the script.
         path: PathBuf,
-        /// The line.
+        /// Line of the error.
         line: usize,
-        /// The column.
+        /// Column of the error.
         column: usize,
-        /// What is wrong, with a hint where there is one.
+        /// Description of the error, with a hint if there is one.
         what: String,
     },
 }
 
-/// A place in a script, in front of a message.
+/// A position in a script, written before an error message.
 struct Position<'a> {
     path: &'a Path,
     line: usize,
@@ -64,7 +64,7 @@
     }
 }
 
-/// What the calls of one run have set, and what was wrong with the last of them.
+/// The settings made by the calls of one run, and the error of the last call, if it failed.
 #[derive(Debug, Default)]
 struct Calls {
     product: Product,
@@ -72,8 +72,8 @@
 }
 
 thread_local! {
-    /// The run that is under way on this thread. Starlark's own way of handing a value to the functions that a
-    /// script calls takes an unsafe trait, which this program has none of.
+    /// State of the script run in progress on this thread. Starlark's own way of passing a value to the functions that
+    /// a script calls needs an unsafe trait, and this crate forbids unsafe code.
     static CALLS: RefCell<Calls> = RefCell::default();
 }
 
@@ -91,48 +91,48 @@
 
 #[starlark_module]
 fn calls(builder: &mut GlobalsBuilder) {
-    /// Where the list of endpoints comes from.
+    /// Sets the registry that supplies the endpoint list.
     fn registry<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("registry", kwargs)
     }
 
-    /// What is done when a whole site is lost.
+    /// Configures the failover of whole sites.
     fn site_plan<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("site_plan", kwargs)
     }
 
-    /// Where map and moves of shards are kept, and how far they go.
+    /// Sets where the shard map and the moves are stored, and the limits on moves.
     fn shards<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("shards", kwargs)
     }
 
-    /// A window in which a zone's shards may move.
+    /// Adds a window in which a zone's shards may move.
     fn quiet<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("quiet", kwargs)
     }
 
-    /// A span in which nothing moves.
+    /// Adds a period in which no shard moves.
     fn blackout<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("blackout", kwargs)
     }
 
-    /// How growth is counted and forecast.
+    /// Configures how growth is measured and forecast.
     fn growth<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("growth", kwargs)
     }
 
-    /// Where the purge log is kept, and how far it may lag.
+    /// Sets where the purge log is stored and its maximum staleness.
     fn purge_log<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("purge_log", kwargs)
     }
 
-    /// How log lines are written.
+    /// Sets the format of log lines.
     fn log<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
         take("log", kwargs)
     }
 }
 
-/// Reads and runs the script of a file.
+/// Reads a script file and runs it.
 pub fn read(path: &Path) -> Result<Product, ScriptError> {
     let unreadable = |e| ScriptError::Unreadable(path.to_owned(), e);
     let size = std::fs::metadata(path).map_err(unreadable)?.len();
@@ -142,7 +142,7 @@
     run(path, std::fs::read_to_string(path).map_err(unreadable)?)
 }
 
-/// Runs a script; `path` is for messages.
+/// Runs a script; `path` is used only in error messages.
 pub fn run(path: &Path, text: String) -> Result<Product, ScriptError> {
     let name = path.display().to_string();
     CALLS.take();
@@ -170,7 +170,8 @@
     Ok(calls.product)
 }
 
-/// Where and what: the argument where one is to blame, else the place that Starlark names.
+/// Converts a Starlark error. The position is that of the invalid argument if there is one, otherwise the position that
+/// Starlark reports.
 fn wrong(path: &Path, e: &starlark::Error, bad: Option<CallError>) -> ScriptError {
     let (mut line, mut column) = (0, 0);
     if let Some(span) = e.span() {
@@ -191,7 +192,7 @@
     ScriptError::Wrong { path: path.to_owned(), line, column, what }
 }
 
-/// Where an argument stands in the text of a call.
+/// Returns the byte offset of a named argument in the source of a call.
 fn place(source: &str, argument: &str) -> Option<usize> {
     let is_word = |c: Option<char>| c.is_some_and(|c| c.is_alphanumeric() || c == '_');
     let named = |&(at, _): &(usize, &str)| {
