--- a/src/config/platform/error.rs
+++ b/src/config/platform/error.rs
@@ -1,29 +1,29 @@
-//! Why a configuration can't be used.
+//! Errors of the platform's configuration file.
 
 use crate::config::settings::InvalidSetting;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a configuration can't be used, in one line.
+/// An error that makes a configuration unusable. Its message is one line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `PROXY_CONFIG` is not set.
     #[error("PROXY_CONFIG does not name a configuration file")]
     NotNamed,
-    /// The file can't be read.
+    /// The configuration file can't be read.
     #[error("can't read {}: {}", .0.display(), .1)]
     Unreadable(PathBuf, std::io::Error),
-    /// The file is not the JSON that is expected.
+    /// The file is not JSON of the expected structure.
     #[error("{} is not a configuration: {}", .0.display(), .1)]
     NotJson(PathBuf, serde_json::Error),
-    /// A value is unusable.
+    /// A value is invalid.
     #[error("configuration: {0}")]
     Value(InvalidSetting),
-    /// The running configuration has a key that this one lacks.
-    #[error("configuration: '{0}' is missing, which the running one has; write the file whole")]
+    /// A key of the running configuration is absent from the new one.
+    #[error("configuration: '{0}' is missing but set in the running one; write the complete file")]
     Missing(String),
-    /// A change that a running instance can't follow.
-    #[error("configuration: {0} differs from the running one; restart the instance for that")]
+    /// A setting has changed that can't change without a restart.
+    #[error("configuration: {0} differs from the running one; restart the instance to apply it")]
     TakesRestart(&'static str),
 }
 
--- a/src/config/platform/known_events.rs
+++ b/src/config/platform/known_events.rs
@@ -1,5 +1,4 @@
-//! The events up to the start of an instance: endpoint entries and purges, as the configuration file has
-//! them.
+//! The events that precede the start of an instance, as the configuration file lists them: endpoint updates and purges.
 
 use super::{parse_address, ConfigError};
 use crate::config::settings::Document;
@@ -7,7 +6,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The events, and the number of the last.
+/// The events, with the number of the last one as `cursor`.
 #[derive(Deserialize, Default)]
 pub(super) struct KnownEvents {
     pub(super) cursor: u64,
@@ -54,11 +53,11 @@
 }
 
 impl KnownEvents {
-    /// The events as commands.
+    /// Converts the events to commands.
     ///
     /// # Errors
     ///
-    /// A value that is not one of those that the settings name.
+    /// Fails if a value is invalid, such as a zone that the settings don't name.
     pub(super) fn into_commands(self, settings: &Document) -> Result<Vec<Command>, ConfigError> {
         self.cmds.into_iter().map(|event| event.into_command(settings)).collect()
     }
@@ -92,7 +91,7 @@
 }
 
 impl Instance {
-    /// The entry of an endpoint. One that is removed may come without its details.
+    /// Converts to an endpoint record. The record of a removed endpoint may lack its details.
     fn into_record(self, settings: &Document) -> Result<Record, ConfigError> {
         let state = match self.lifecycle.as_str() {
             "SERVING" => State::Ready,
@@ -120,7 +119,8 @@
     }
 }
 
-/// The index of a name. Where the settings have no names, or one and it is left out, it is the first.
+/// Returns the index of a name. The index is 0 if the settings have no names, or if they have only one and the name is
+/// omitted.
 fn name_index(names: &[String], name: &str) -> Option<usize> {
     let is_only_one = names.is_empty() || (names.len() == 1 && name.is_empty());
     let found = names.iter().position(|known| known == name);
--- a/src/config/platform/mod.rs
+++ b/src/config/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of one instance: a JSON file that `PROXY_CONFIG` names.
+//! The platform's configuration of one instance: a JSON file whose path is in `PROXY_CONFIG`.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 mod error;
@@ -14,64 +14,65 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Most instances of a tier that may know each other.
+/// Maximum number of peers in the configuration.
 const MAX_PEERS: usize = MAX_INSTANCES as usize;
-/// Memory of an instance whose configuration gives none: the least that the platform has.
+/// Memory limit in MB if the configuration sets none: the smallest that the platform offers.
 const DEFAULT_MEMORY_MB: usize = 32;
 const SEED_RADIX: u32 = 16;
 
 /// The configuration of one instance.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The admin endpoint, if there is one.
+    /// Address of the admin endpoint, if there is one.
     pub management: Option<SocketAddr>,
-    /// The folder where processes of one instance find each other, if there is one.
+    /// Folder through which processes of one instance find each other during a takeover, if there is one.
     pub folder: Option<PathBuf>,
-    /// Seed of random numbers; new with each start.
+    /// Seed of the random number generators; it differs on each start.
     pub seed: u64,
-    /// The file that it was read from; SIGHUP has it read again.
+    /// Path of the configuration file, which is read again on SIGHUP.
     pub path: PathBuf,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Address of the command channel.
     pub channel: SocketAddr,
     /// Number of the last event in `known`.
     pub cursor: u64,
-    /// The events up to the start.
+    /// The events that precede the start of the instance.
     pub known: Vec<Command>,
-    /// Bytes a second of one transfer from the local cache, and of all of them together; 0: the cache is off.
+    /// Bandwidth of one transfer from the local cache and of all transfers together, in bytes per second; 0 disables
+    /// the cache.
     pub own_link: (f64, f64),
-    /// The other instances, where they may talk to each other.
+    /// Gossip with the other instances, if enabled.
     pub peering: Option<Peering>,
     /// The deployment's settings.
     pub settings: Document,
-    /// The path of every key in the file.
+    /// Paths of all keys in the file.
     pub keys: BTreeSet<String>,
 }
 
 /// How an instance reaches its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peering {
-    /// Its own number.
+    /// Index of this instance in `members`.
     pub me: u16,
-    /// Where its datagrams come in.
+    /// Address on which this instance receives datagrams.
     pub listen: SocketAddr,
-    /// The address of each instance by number; its datagrams come from there.
+    /// Address of each instance by index; an instance sends its datagrams from this address.
     pub members: Vec<SocketAddr>,
-    /// Datagrams a second that it may send.
+    /// Maximum number of datagrams that this instance sends per second.
     pub datagrams_per_s: u32,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory in MB.
+    /// Memory limit in MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
@@ -80,7 +81,7 @@
     DEFAULT_MEMORY_MB
 }
 
-/// The file's own form.
+/// The JSON structure of the configuration file.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -105,30 +106,30 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the configuration file that `PROXY_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// None is named, or it can't be used.
+    /// Fails if the variable is not set or if the file can't be read or is invalid.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = PathBuf::from(std::env::var_os("PROXY_CONFIG").ok_or(ConfigError::NotNamed)?);
         let mut config = Config::read(path)?;
-        // A second process of the instance has the same file and an admin address of its own.
+        // A second process of the instance shares the file and needs an admin address of its own.
         if let Some(address) = std::env::var("PROXY_MANAGEMENT").ok().filter(|address| !address.is_empty()) {
             config.management = Some(parse_address("PROXY_MANAGEMENT", address)?);
         }
-        // Without an admin endpoint no second process can be started. Never a folder that others may write
-        // to.
+        // Without an admin endpoint no second process can be started, so no folder is needed. The folder is never
+        // one that other users may write to.
         let private_folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
         config.folder = private_folder.map(PathBuf::from).filter(|_| config.management.is_some());
         Ok(config)
     }
 
-    /// Reads a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
     ///
-    /// It can't be read or used.
+    /// Fails if the file can't be read or is invalid.
     pub fn read(path: PathBuf) -> Result<Config, ConfigError> {
         match std::fs::read_to_string(&path) {
             Ok(text) => Config::parse(&text, path),
@@ -136,11 +137,11 @@
         }
     }
 
-    /// Checks that this configuration can take the place of a running one.
+    /// Checks that this configuration can replace the running one.
     ///
     /// # Errors
     ///
-    /// A key of the running one is missing, or a change needs a restart.
+    /// Fails if a key of the running configuration is missing, or if a change needs a restart.
     pub fn follows(&self, settings: &Document, keys: &BTreeSet<String>) -> Result<(), ConfigError> {
         if let Some(key) = keys.difference(&self.keys).next() {
             return Err(ConfigError::Missing(key.clone()));
@@ -151,11 +152,11 @@
         }
     }
 
-    /// Reads a configuration; `path` is for messages.
+    /// Parses a configuration. `path` appears in error messages and is kept for reloads.
     ///
     /// # Errors
     ///
-    /// It is not the JSON that is expected, or a value is unusable.
+    /// Fails if the text is not JSON of the expected structure, or if a value is invalid.
     pub fn parse(text: &str, path: PathBuf) -> Result<Config, ConfigError> {
         let not_json = |error| ConfigError::NotJson(path.clone(), error);
         let mut file: File = serde_json::from_str(text).map_err(not_json)?;
@@ -205,7 +206,7 @@
     text.parse().map_err(|_| ConfigError::value(key, text))
 }
 
-/// The peers; `None`: there are none, or the settings do not let instances talk to each other.
+/// Parses the gossip settings; `None` if there are no peers or the settings disable gossip.
 fn parse_peering(
     listen: String,
     peers: Vec<String>,
