--- a/src/config/settings/checks.rs
+++ b/src/config/settings/checks.rs
@@ -1,23 +1,23 @@
-//! Checks of the operators' settings: values without which nothing could be served, or whose sums would
-//! overflow.
+//! Checks of the operators' settings. They reject values with which no request could be served, and times whose sums
+//! could overflow.
 
 use super::{ClassEntry, Document};
 use crate::routing::events::Micros;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Longest time that settings may give: a day. Sums of times must not overflow.
+/// Maximum time in settings, in microseconds: one day. Sums of times must not overflow.
 pub(crate) const MAX_TIME_US: Micros = 86_400_000_000;
-/// Largest stretch of a latency objective.
+/// Maximum stretch of a latency objective.
 const MAX_STRETCH: f64 = 1e6;
 
-/// A value that makes settings unusable.
+/// An invalid value in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("bad {key}: '{problem}'")]
 pub struct InvalidSetting {
     /// Path of the key.
     pub key: &'static str,
-    /// The value, and which values are allowed.
+    /// The value, with the range of allowed values.
     pub problem: String,
 }
 
@@ -28,11 +28,11 @@
 }
 
 impl Document {
-    /// Checks that something can be served with these settings.
+    /// Checks that requests can be served with these settings.
     ///
     /// # Errors
     ///
-    /// The first key whose value is unusable.
+    /// Reports the first key whose value is invalid.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         self.check_class_names_and_deadlines()?;
         self.classes.iter().try_for_each(check_class_times)?;
@@ -42,8 +42,8 @@
         self.check_counts()
     }
 
-    /// The first key that differs from the running settings and needs a restart: the endpoint list depends on
-    /// it.
+    /// Returns the first key whose value differs from the running settings and needs a restart. These are the keys on
+    /// which the interpretation of the endpoint list depends.
     pub fn find_change_that_needs_restart(&self, running: &Document) -> Option<&'static str> {
         let (new, old) = (&self.domain, &running.domain);
         let unchanged = [
@@ -61,7 +61,7 @@
         let mut names = BTreeSet::new();
         for ClassEntry { name, deadline_us, .. } in &self.classes {
             if name.is_empty() || !names.insert(name) {
-                let problem = format!("{name} (empty or there twice)");
+                let problem = format!("{name} (empty or a duplicate)");
                 return Err(InvalidSetting::new("settings.classes: name", problem));
             }
             if !(1..=MAX_TIME_US).contains(deadline_us) {
@@ -95,7 +95,8 @@
         Ok(())
     }
 
-    /// A list that lost an entry would give each class after it the value of another one.
+    /// Checks that lists indexed by class have one entry per class. In a list with a missing entry, each later class
+    /// would get the value of another class.
     fn check_lists_by_class(&self) -> Result<(), InvalidSetting> {
         let classes = self.classes.len();
         let lengths = [
--- a/src/config/settings/classes.rs
+++ b/src/config/settings/classes.rs
@@ -1,28 +1,28 @@
-//! The classes of requests under numbers that stay the same when settings are reloaded.
+//! The request classes, with numbers that stay the same when settings are reloaded.
 //!
-//! A request keeps the class that it came with until it ends. A class that new settings drop is served for a
-//! short while, and its name is known for longer: clients hear of the change late.
+//! A request keeps the class with which it arrived until it ends. A class that new settings drop is still served for a
+//! short time and its name is known for longer, because clients learn of the change with a delay.
 
 use super::{ClassEntry, Document};
 use crate::invariant;
 use crate::routing::events::{Class, Idempotency, Micros, Settings};
 
-/// How long a dropped class is still served: clients know of the change 1.2 s after it.
+/// Time for which a dropped class is still served, in microseconds. Clients learn of the change up to 1.2 s after it.
 pub const DROPPED_CLASS_SERVED_FOR_US: Micros = 1_500_000;
-/// How long the name of a dropped class is known, so that requests with it are rejected rather than
-/// malformed.
+/// Time for which the name of a dropped class is known, in microseconds. During it, requests with the name are rejected
+/// instead of being treated as malformed.
 pub const DROPPED_CLASS_KNOWN_FOR_US: Micros = 30_000_000;
 
-/// One class, as long as there may be a request of it.
+/// A class number in use, kept as long as requests of its class may exist.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
     name: String,
-    /// The longest that a client waits.
+    /// Longest time that a client waits.
     deadline: Micros,
     class: Class,
-    /// Since when the settings do not have it any more.
+    /// Time at which the settings dropped the class; `None` while it is current.
     dropped_at: Option<Micros>,
-    /// Requests that came with it and have not ended.
+    /// Number of requests of this class that have not ended.
     open_requests: usize,
 }
 
@@ -50,32 +50,32 @@
     }
 }
 
-/// All classes by number: those of the settings, and those that open requests came with.
+/// All classes by number: those in the settings and dropped ones that are still known or have open requests.
 #[derive(Clone, Debug, Default)]
 pub struct ClassTable {
     pub(super) slots: Vec<Slot>,
 }
 
-/// What the name of a class stands for.
+/// Result of the lookup of a class name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClassLookup<'a> {
-    /// A class that is served.
+    /// The class is served.
     Found {
-        /// Its number.
+        /// Number of the class.
         number: usize,
-        /// The longest that a client waits.
+        /// Longest time that a client waits.
         deadline: Micros,
         /// The class.
         class: &'a Class,
     },
-    /// A class that was dropped a short while ago.
+    /// The class was dropped recently and is no longer served.
     Dropped,
-    /// No class.
+    /// No class with this name is known.
     Unknown,
 }
 
 impl<'a> ClassLookup<'a> {
-    /// Number and class, where one is served.
+    /// Returns number and class if the class is served.
     pub fn class(self) -> Option<(usize, &'a Class)> {
         match self {
             ClassLookup::Found { number, class, .. } => Some((number, class)),
@@ -85,7 +85,7 @@
 }
 
 impl ClassTable {
-    /// Takes the classes of new settings. Those that are unchanged keep their numbers.
+    /// Applies the classes of new settings. Unchanged classes keep their numbers.
     pub fn apply(&mut self, now: Micros, settings: &Document) {
         let entries: Vec<(&ClassEntry, Class)> =
             settings.classes.iter().zip(settings.router_classes()).collect();
@@ -115,9 +115,9 @@
         }
     }
 
-    /// What a name stands for now: the current class, else the one dropped last. The deadline is the longest
-    /// of all classes of the name that are served: clients that have not heard of a change still ask with the
-    /// old one, and a longer deadline than the allowed one ends their connections.
+    /// Looks up a name: the current class, or else the class of that name that was dropped last. The deadline is the
+    /// longest of all served classes with the name, because clients that have not learned of a change still send the
+    /// old deadline, and a deadline above the allowed one closes their connection.
     pub fn find(&self, now: Micros, name: &str) -> ClassLookup<'_> {
         let of_name = || self.slots.iter().enumerate().filter(|(_, slot)| slot.name == name);
         let latest = of_name().min_by_key(|(_, slot)| (!slot.is_current(), slot.dropped_for(now)));
@@ -133,23 +133,24 @@
         }
     }
 
-    /// Counts a request that came with a class.
+    /// Counts a new request of a class.
     pub fn request_opened(&mut self, number: usize) {
         self.slots[number].open_requests += 1;
     }
 
-    /// Counts a request that has ended.
+    /// Counts the end of a request.
     pub fn request_closed(&mut self, number: usize) {
-        invariant!(self.slots[number].open_requests > 0, "a request that ends was counted when it came");
+        invariant!(self.slots[number].open_requests > 0, "a request that ends was counted on arrival");
         self.slots[number].open_requests = self.slots[number].open_requests.saturating_sub(1);
     }
 
-    /// Requests of all classes that have not ended.
+    /// Returns the number of requests of all classes that have not ended.
     pub fn open_requests(&self) -> usize {
         self.slots.iter().map(|slot| slot.open_requests).sum()
     }
 
-    /// Whether a class of this name that took requests without a key was dropped a short while ago.
+    /// Returns whether a recently dropped class of this name that is still served allowed requests without an
+    /// idempotency key.
     pub fn recently_allowed_no_key(&self, now: Micros, name: &str) -> bool {
         self.slots.iter().any(|slot| {
             slot.name == name
@@ -159,14 +160,14 @@
         })
     }
 
-    /// The longest deadline of the current classes.
+    /// Returns the longest deadline of the current classes.
     pub fn longest_deadline(&self) -> Micros {
         let current = self.slots.iter().filter(|slot| slot.is_current());
         current.map(|slot| slot.deadline).max().unwrap_or(0)
     }
 
-    /// The router's settings, with these classes by number. Two processes that share an instance's place must
-    /// not each send a cold endpoint what one may.
+    /// Returns the router's settings with these classes by number. During a takeover two processes share one instance's
+    /// allowance for cold endpoints, so that together they don't send more than one process may.
     pub fn for_router(&self, settings: &Document, is_shared: bool) -> Settings {
         let settings = settings.for_router();
         Settings {
--- a/src/config/settings/keys.rs
+++ b/src/config/settings/keys.rs
@@ -1,13 +1,13 @@
-//! The keys that a configuration file has, by which a reload finds out that one was left out.
+//! The set of keys in a configuration file, by which a reload detects a missing key.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The key whose value is a list of past events, which differ from file to file.
+/// The key whose value holds past events. Their keys are ignored, because they differ from file to file.
 const KNOWN_EVENTS: &str = "known";
 
-/// The path of every key in a configuration, without the keys of past events. Of a list, the keys that all
-/// its entries have.
+/// Returns the paths of all keys in a configuration except those inside past events. For a list, only the keys that all
+/// its entries share are included.
 pub fn key_paths(file: &Value) -> BTreeSet<String> {
     let mut paths = BTreeSet::new();
     collect_key_paths(file, "", &mut paths);
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The deployment's settings as operators write them (nested JSON), for the instance and the simulator's
+//! The deployment's settings as operators write them (nested JSON), used by the instance and the simulator
 //! adapter.
 //!
-//! [`Document`] mirrors the JSON. `checks.rs` rejects values that nothing could be served with,
-//! `translation.rs` turns a document into the router's settings, and `classes.rs` keeps the numbers of
+//! [`Document`] mirrors the JSON. `checks.rs` rejects values with which no request could be served,
+//! `translation.rs` converts a document to the router's settings, and `classes.rs` keeps the numbers of
 //! classes stable across reloads.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
@@ -21,18 +21,18 @@
 use crate::routing::events::Micros;
 use serde::Deserialize;
 
-/// Most instances of a tier that settings can name.
+/// Maximum number of instances that settings can name.
 pub const MAX_INSTANCES: u32 = 4_096;
-/// Datagrams a second to peers where the settings give none.
+/// Default limit of datagrams to peers per second.
 pub const DEFAULT_PEER_DATAGRAMS_PER_S: u32 = 100;
 
-/// The settings as operators write them. Unknown keys are skipped, absent ones take their default.
+/// The settings as operators write them. Unknown keys are ignored and absent keys take their defaults.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Document {
-    /// How many instances there are.
+    /// Number of instances; 0: derived from `domain.crew_by_zone`, or unknown if that is empty.
     pub balancers: u32,
-    /// The classes, by number.
+    /// The request classes, by number.
     pub classes: Vec<ClassEntry>,
     /// How the endpoint list is delivered: `push` or `ask`.
     pub discovery: String,
@@ -40,35 +40,35 @@
     pub failure_domains: Vec<String>,
     /// Names of the machine kinds, by number.
     pub kinds: Vec<String>,
-    /// What depends on the kind of service.
+    /// Properties of the kind of service.
     pub domain: Domain,
     /// Limits of the deployment.
     pub limits: Limits,
-    /// Parameters of the rules.
+    /// Parameters of the load and warm-up rules.
     pub rules: Rules,
-    /// The instance's own number among all of its tier.
+    /// Index of this instance among all instances.
     pub slot_no: usize,
-    /// What an endpoint's `weight` means: `nominal` and `rough` are sizes.
+    /// Meaning of an endpoint's `weight`: with `nominal` and `rough`, weights are sizes.
     pub weight_source: String,
-    /// The instance's own zone.
+    /// Index of the instance's zone.
     pub zone: usize,
 }
 
-/// One class of requests.
+/// Settings of one request class.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ClassEntry {
-    /// Its name, as clients and endpoints use it.
+    /// Name of the class, as clients and endpoints use it.
     pub name: String,
     /// See [`crate::routing::events::Class::latency_objective_stretch`].
     pub aim_stretch: f64,
     /// See [`crate::routing::events::Class::latency_objective`].
     pub promise_us: Micros,
-    /// The longest that a client waits.
+    /// Longest time that a client waits.
     pub deadline_us: Micros,
-    /// `idempotent`, `deduplicated` or `at_most_once`; anything else binds as the last does.
+    /// `idempotent`, `deduplicated` or `at_most_once`; any other value means `at_most_once`.
     pub semantics: String,
-    /// `all`, `zone` or `cell`; anything else binds as the last does.
+    /// `all`, `zone` or `cell`; any other value means `cell`.
     pub dedup_scope: String,
     /// See [`crate::routing::events::Class::deduplication_window`].
     pub window_us: Micros,
@@ -107,18 +107,18 @@
     pub conn_idle_us: Micros,
     pub dial_timeout_us: Micros,
     pub max_attempts: u32,
-    /// Requests in flight at a time; 0 or absent: as many as memory allows.
+    /// Maximum number of requests in flight; 0 or absent: limited only by memory.
     pub max_open: usize,
     pub may_cancel: bool,
     pub may_tell: bool,
     pub multiplex: usize,
     pub retry_after: bool,
     pub max_retry_after_us: Micros,
-    /// Datagrams a second that this instance may send to peers; absent: [`DEFAULT_PEER_DATAGRAMS_PER_S`].
+    /// Maximum number of datagrams to peers per second; absent: [`DEFAULT_PEER_DATAGRAMS_PER_S`].
     pub peer_datagrams_per_s: Option<u32>,
 }
 
-/// Parameters of the rules.
+/// Parameters of the load and warm-up rules.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 #[allow(missing_docs)] // named as on the wire, where each is explained
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Translation, checks and class numbers of the operators' settings.
+//! Tests of the translation and the checks of settings, and of class numbers across reloads.
 
 use super::checks::MAX_TIME_US;
 use super::translation::{DEFAULT_OVERLOAD_WINDOW_US, MIN_INITIAL_SHARE};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_dropped_class_keeps_its_number_and_shifts_no_other() {
+fn a_dropped_class_keeps_its_number_and_does_not_renumber_others() {
     let mut classes = ClassTable::default();
     classes.apply(0, &document(&[("a", 1, "idempotent"), ("b", 2, "idempotent"), ("c", 3, "deduplicated")]));
     let before = ["a", "b", "c"].map(|n| number(&classes, 0, n));
@@ -37,11 +37,11 @@
     assert_eq!(
         number(&classes, 9 + DROPPED_CLASS_SERVED_FOR_US, "b"),
         before[1],
-        "clients have not heard yet"
+        "clients may not have learned of the change yet"
     );
     assert_eq!(classes.find(10 + DROPPED_CLASS_SERVED_FOR_US, "b"), ClassLookup::Dropped);
     assert_eq!(classes.find(10 + DROPPED_CLASS_KNOWN_FOR_US, "b"), ClassLookup::Unknown);
-    // With a request open its place is not given away, and afterwards it is.
+    // The number is reused only after the class's last request has ended.
     classes.apply(10 + DROPPED_CLASS_KNOWN_FOR_US, &document(&[("e", 5, "x")]));
     assert_ne!(number(&classes, 10 + DROPPED_CLASS_KNOWN_FOR_US, "e"), before[1]);
     classes.request_closed(before[1]);
@@ -51,30 +51,30 @@
 }
 
 #[test]
-fn a_class_defined_anew_binds_new_requests_and_open_ones_keep_the_old() {
+fn a_redefined_class_applies_to_new_requests_and_open_ones_keep_the_old_definition() {
     let mut classes = ClassTable::default();
     classes.apply(0, &document(&[("a", 1, "idempotent")]));
     let old = number(&classes, 0, "a");
     classes.request_opened(old);
     let new = document(&[("a", 1, "at_most_once")]);
     classes.apply(5, &new);
-    let now = number(&classes, 5, "a");
-    let told = classes.for_router(&new, false).classes;
+    let redefined = number(&classes, 5, "a");
+    let router_classes = classes.for_router(&new, false).classes;
     assert_eq!(
-        (told[old].idempotency, told[now].idempotency),
+        (router_classes[old].idempotency, router_classes[redefined].idempotency),
         (Idempotency::Idempotent, Idempotency::NotIdempotent)
     );
 }
 
 #[test]
-fn what_no_start_accepts_and_what_a_running_file_has_more_is_found() {
+fn invalid_values_changes_that_need_a_restart_and_missing_keys_are_detected() {
     let good = document(&[("a", 1, "x")]);
     let mut good = Document { classes: good.classes, ..Document::default() };
-    let l = &mut good.limits;
-    (l.multiplex, l.max_attempts, l.dial_timeout_us, l.conn_idle_us) = (1, 1, 1, 1);
+    let limits = &mut good.limits;
+    (limits.multiplex, limits.max_attempts, limits.dial_timeout_us, limits.conn_idle_us) = (1, 1, 1, 1);
     assert_eq!(good.check(), Ok(()));
-    type Spoil = fn(&mut Document);
-    let spoils: [(&str, Spoil); 21] = [
+    type Edit = fn(&mut Document);
+    let invalid_edits: [(&str, Edit); 21] = [
         ("multiplex", |d| d.limits.multiplex = 0),
         ("dial-timeout-us", |d| d.limits.dial_timeout_us = 0),
         ("dial-timeout-us", |d| d.limits.dial_timeout_us = Micros::MAX),
@@ -97,10 +97,10 @@
         ("classes", |d| d.classes.clear()),
         ("conn-idle-us", |d| d.limits.conn_idle_us = 0),
     ];
-    for (what, spoil) in spoils {
-        let mut bad = good.clone();
-        spoil(&mut bad);
-        assert!(bad.check().is_err_and(|e| e.key.contains(what)), "{what}");
+    for (key, edit) in invalid_edits {
+        let mut invalid = good.clone();
+        edit(&mut invalid);
+        assert!(invalid.check().is_err_and(|e| e.key.contains(key)), "{key}");
     }
     let mut other = good.clone();
     other.kinds.push("x".into());
@@ -113,37 +113,37 @@
     assert_eq!(all, ["classes", "classes[].a", "known", "seed"]);
 }
 
-/// What settings of other customers leave out, or have as 0, and what it then means.
+/// Guards against settings that omit keys, or set them to 0, and would then keep every request from being served.
 #[test]
-fn what_is_absent_has_a_meaning_under_which_something_can_be_served() {
+fn absent_or_zero_settings_take_defaults_with_which_requests_can_be_served() {
     let mut bare = document(&[("a", 1, "idempotent"), ("b", 2, "deduplicated"), ("c", 3, "?")]);
     (bare.rules.warm_within_us, bare.domain.parent_ramp_us) = (5, 6);
-    let told = bare.for_router();
+    let settings = bare.for_router();
     assert_eq!(
-        (told.overload_window, told.purge_propagation_time, told.max_retry_after),
+        (settings.overload_window, settings.purge_propagation_time, settings.max_retry_after),
         (DEFAULT_OVERLOAD_WINDOW_US, 0, 0)
     );
-    for start in [told.cache_slow_start, told.parent_slow_start] {
+    for start in [settings.cache_slow_start, settings.parent_slow_start] {
         assert!(
             start.initial_share == MIN_INITIAL_SHARE && start.overload_multiple == 1.0 && start.duration > 0,
             "{start:?}"
         );
     }
-    // Lists that are empty, or short where they go by zones.
+    // Lists may be empty, and lists by zone may be shorter than the list of zones.
     bare.domain.crew_by_zone = vec![3];
     assert_eq!(bare.for_router().routers_by_zone, [3]);
-    let last = &told.classes[2];
+    let last = &settings.classes[2];
     assert_eq!(
         (last.idempotency, last.deduplication_scope, last.deduplication_window),
         (Idempotency::NotIdempotent, DeduplicationScope::Cell, 0)
     );
-    assert!(told.classes.iter().all(|c| (c.fresh_for, c.grace, c.uncacheable) == (0, 0, false)));
-    // A share above the whole, and no ramp at all.
+    assert!(settings.classes.iter().all(|c| (c.fresh_for, c.grace, c.uncacheable) == (0, 0, false)));
+    // An initial share above 1 is clamped, and a ramp may have no duration.
     bare.rules.start_capacity = 7.0;
     bare.rules.warm_within_us = 0;
     let start = bare.for_router().cache_slow_start;
     assert_eq!((start.initial_share, start.duration), (1.0, 0));
-    // The longest wait goes by names that are still served, and no longer.
+    // The deadline of a name is the longest of its classes that are still served.
     let mut classes = ClassTable::default();
     classes.apply(0, &document(&[("a", 9, "idempotent")]));
     classes.apply(10, &document(&[("a", 2, "idempotent")]));
@@ -160,20 +160,20 @@
 proptest! {
     #![proptest_config(crate::net::testing::config())]
 
-    /// Whatever files come while requests are open: a number that a request holds means the class that it
-    /// came with, every class of the settings is found, and places do not grow with the files.
+    /// For any sequence of reloads while requests are open: the class number of an open request keeps its class,
+    /// every class of the settings is found, and the number of slots doesn't grow with the number of reloads.
     #[test]
-    fn a_number_that_is_held_never_changes_its_meaning(
+    fn the_class_number_of_an_open_request_keeps_its_class_across_reloads(
         files in prop::collection::vec((prop::collection::btree_map(0usize..6, 0u8..3, 1..5), 0u64..20, 0usize..4), 1..30),
     ) {
         let (mut classes, mut now) = (ClassTable::default(), 0);
-        let mut held: Vec<(usize, Class)> = Vec::new();
+        let mut open: Vec<(usize, Class)> = Vec::new();
         let names = ["a", "b", "c", "d", "e", "f"];
-        let effects = ["idempotent", "deduplicated", "at_most_once"];
+        let semantics = ["idempotent", "deduplicated", "at_most_once"];
         for (file, wait, ends) in files {
             now += wait * 1_000_000;
             let list: Vec<(&str, Micros, &str)> =
-                file.iter().map(|(n, e)| (names[*n], 9, effects[*e as usize])).collect();
+                file.iter().map(|(n, e)| (names[*n], 9, semantics[*e as usize])).collect();
             let new = document(&list);
             classes.apply(now, &new);
             for (n, entry) in new.classes.iter().enumerate() {
@@ -183,20 +183,20 @@
                 prop_assert_eq!(class, &new.router_class(n, entry));
                 let class = class.clone();
                 classes.request_opened(at);
-                held.push((at, class));
+                open.push((at, class));
             }
-            for _ in 0..ends.min(held.len()) {
-                let (at, _) = held.remove(0);
+            for _ in 0..ends.min(open.len()) {
+                let (at, _) = open.remove(0);
                 classes.request_closed(at);
             }
-            let told = classes.for_router(&new, false).classes;
-            prop_assert!(held.iter().all(|(at, class)| &told[*at] == class));
+            let router_classes = classes.for_router(&new, false).classes;
+            prop_assert!(open.iter().all(|(at, class)| &router_classes[*at] == class));
         }
-        held.into_iter().for_each(|(at, _)| classes.request_closed(at));
+        open.into_iter().for_each(|(at, _)| classes.request_closed(at));
         let size = classes.slots.len();
         for n in 0..20 {
             now += DROPPED_CLASS_KNOWN_FOR_US + 1;
-            classes.apply(now, &document(&[(names[n % 6], 9, effects[n % 3])]));
+            classes.apply(now, &document(&[(names[n % 6], 9, semantics[n % 3])]));
         }
         prop_assert!(classes.slots.len() <= size + 2);
     }
--- a/src/config/settings/translation.rs
+++ b/src/config/settings/translation.rs
@@ -5,23 +5,23 @@
     Class, DeduplicationScope, Idempotency, Micros, OutcomeDetail, Role, Settings, SlowStart,
 };
 
-/// Window over which the load on a cold endpoint counts, where the settings give none.
+/// Default window over which the load on a cold endpoint is measured, in microseconds.
 pub(super) const DEFAULT_OVERLOAD_WINDOW_US: Micros = 1_000_000;
-/// Least initial share of a slow start: with none at all nothing would ever be sent.
+/// Minimum initial share of a slow start. With a share of zero, no request would ever be sent.
 pub(super) const MIN_INITIAL_SHARE: f64 = 0.01;
-/// Overload multiple of a slow start where the settings give none.
+/// Default overload multiple of a slow start.
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 1.0;
 
 impl Document {
-    /// The router's settings.
+    /// Returns the router's settings.
     pub fn for_router(&self) -> Settings {
         let domain = &self.domain;
         let routers = self.routers();
         Settings {
             zone: self.zone,
             routers,
-            // An instance that does not know their number must not take itself for the only one: all of them
-            // together would overload what starts cold.
+            // An instance that doesn't know the number of instances must not assume that it is the only one: together,
+            // all instances would overload cold endpoints.
             processes: if routers == 0 { MAX_INSTANCES } else { 1 },
             routers_by_zone: domain.crew_by_zone.clone(),
             classes: self.router_classes().collect(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The role of a machine of this kind.
+    /// Returns the role of endpoints of this kind.
     pub fn role(&self, kind: i64) -> Role {
         if self.domain.source_kind == Some(kind) {
             Role::Origin
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The classes, by number.
+    /// Returns the router's classes, by number.
     pub(super) fn router_classes(&self) -> impl Iterator<Item = Class> + '_ {
         self.classes.iter().enumerate().map(|(number, entry)| self.router_class(number, entry))
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// How many routers there are; where that is not told, as many as serve the zones. 0: unknown.
+    /// Returns the number of routers: `balancers` if set, otherwise the sum over the zones; 0 if unknown.
     fn routers(&self) -> u32 {
         if self.balancers > 0 {
             return self.balancers;
@@ -93,8 +93,8 @@
     }
 }
 
-/// Without a share or a multiple, a ramp alone would keep an endpoint from being sent anything before its
-/// end. Without a ramp nothing is ever cold.
+/// Replaces an initial share below the minimum and a missing overload multiple by defaults, because with a ramp alone
+/// an endpoint would get no request until the end of its slow start. With a duration of 0, no endpoint counts as cold.
 fn slow_start(initial_share: f64, duration: Micros, overload_multiple: f64) -> SlowStart {
     SlowStart {
         initial_share: initial_share.clamp(MIN_INITIAL_SHARE, 1.0),
@@ -115,7 +115,7 @@
     }
 }
 
-/// What is unknown binds as what must never run twice.
+/// Parses the idempotency of a class. An unknown value counts as not idempotent, so that no request runs twice.
 fn idempotency(name: &str) -> Idempotency {
     match name {
         "idempotent" => Idempotency::Idempotent,
@@ -124,7 +124,7 @@
     }
 }
 
-/// What is unknown binds as the narrowest scope.
+/// Parses a deduplication scope. An unknown value counts as the narrowest scope.
 fn deduplication_scope(name: &str) -> DeduplicationScope {
     match name {
         "all" => DeduplicationScope::All,
