--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command on the registry did not do its work, with what can be done.
+//! Errors of the commands that use the registry, with what the operator can do.
 
 use super::registry_client::ANSWER_TIMEOUT;
 use crate::purges::log::LogError;
@@ -8,7 +8,7 @@
 
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
-    #[error("no endpoint is named")]
+    #[error("no registry endpoint is given")]
     NoEndpoint,
     #[error("can't reach the registry at {address}: {source}")]
     Unreachable { address: SocketAddr, source: io::Error },
@@ -16,13 +16,13 @@
     Io(#[from] io::Error),
     #[error("interrupted")]
     Interrupted,
-    #[error("the registry answers: {0}")]
+    #[error("the registry returned an error: {0}")]
     CallFailed(Status),
-    #[error("the answer can't be read: {0}")]
+    #[error("can't decode the registry's answer: {0}")]
     InvalidAnswer(#[from] prost::DecodeError),
-    #[error("the registry left: {0}")]
+    #[error("the registry closed the connection: {0}")]
     ConnectionClosed(String),
-    #[error("the registry gave no answer within {ANSWER_TIMEOUT:?}")]
+    #[error("the registry did not answer within {ANSWER_TIMEOUT:?}")]
     TimedOut,
     #[error("the registry ended the watch: {0}")]
     WatchCancelled(String),
@@ -30,14 +30,14 @@
     InvalidId(String),
     #[error("{0} is not listed")]
     NotListed(String),
-    #[error("the record of {id} can't be read ({source}); write it anew with put")]
+    #[error("the record of {id} can't be read ({source}); replace it with put")]
     UnreadableRecord { id: String, source: serde_json::Error },
     #[error("{0}")]
     UnwritableRecord(serde_json::Error),
-    #[error("the record was changed meanwhile; nothing was done, look and try again")]
+    #[error("the record was changed concurrently, so nothing was written; check the record and try again")]
     RecordChanged,
     #[error("{0}")]
     PurgeLog(#[from] LogError),
-    #[error("others appended to the log {0} times meanwhile; nothing was done, try again, or put several purges into one")]
+    #[error("other processes appended to the log during all {0} attempts, so nothing was written; try again, or combine several purges in one command")]
     LogContended(usize),
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line: which command the arguments name, and its exit code. Without any argument the instance runs as
-//! the platform starts it.
+//! The command line: parses the arguments, runs the command and sets the exit code. Without arguments the instance
+//! runs, which is how the platform starts it.
 
 mod error;
 mod purge;
@@ -27,12 +27,12 @@
 enum Command {
     /// Run the instance; the same as no command.
     Run(Run),
-    /// Check a settings script and print what it sets, as JSON.
+    /// Check a settings script and print its settings as JSON.
     Check {
-        /// The script.
+        /// Path of the settings script.
         file: PathBuf,
     },
-    /// Show and change the list of endpoints in the registry.
+    /// Show and change the endpoint list in the registry.
     Registry(registry::Options),
     /// Purge objects at every instance that follows the purge log.
     Purge(purge::Options),
@@ -43,16 +43,16 @@
     /// The product's own settings, a Starlark script.
     #[arg(long, env = "LARCHDALE_PRODUCT", value_name = "FILE")]
     product: Option<PathBuf>,
-    /// The form of log lines, in place of the script's.
+    /// Log format; overrides that of the script.
     #[arg(long, env = "LARCHDALE_LOG_FORMAT", value_name = "FORM")]
     log_format: Option<Form>,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Form {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs the command that the arguments name.
+/// Parses the arguments and runs the command.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
@@ -83,16 +83,16 @@
     }
 }
 
-/// Exit code of a command that could not be begun: its arguments or its configuration are wrong.
+/// Exit code of a command that could not start because its arguments or its configuration are invalid.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Prints why a command could not be begun.
+/// Prints why a command could not start and returns the exit code for it.
 fn fail(message: &str) -> ExitCode {
     eprintln!("larchdale: {message}");
     ExitCode::from(USAGE_EXIT_CODE)
 }
 
-/// Prints why a command has failed, if it has.
+/// Returns the exit code of a command, and prints its error if it failed.
 fn exit_code(result: Result<(), CommandError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -1,4 +1,4 @@
-//! The operators' command that appends to the purge log.
+//! The `purge` command, which appends an entry to the purge log.
 
 use super::error::CommandError;
 use super::registry_client::{Client, Target};
@@ -13,9 +13,9 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How often an entry is tried where others append at the same time.
+/// Maximum number of attempts to append an entry when other processes append at the same time.
 const MAX_ATTEMPTS: usize = 32;
-/// Hexadecimal digits of the longest object id.
+/// Maximum number of hexadecimal digits in an object id.
 const MAX_OBJECT_DIGITS: usize = 16;
 
 #[derive(Args, Debug)]
@@ -23,22 +23,22 @@
     /// The settings script whose purge_log() names the log.
     #[arg(long, env = "LARCHDALE_PRODUCT", value_name = "FILE")]
     product: Option<PathBuf>,
-    /// A member of the registry, in place of the script's.
+    /// Address of a registry member; overrides the endpoints of the script.
     #[arg(long, value_name = "ADDRESS")]
     endpoint: Option<SocketAddr>,
-    /// What the log's keys begin with, in place of the script's.
+    /// Prefix of the log's keys; overrides that of the script.
     #[arg(long, value_name = "PREFIX")]
     prefix: Option<String>,
-    /// Objects, by their ids of up to 16 hexadecimal digits.
+    /// Objects to purge, by ids of up to 16 hexadecimal digits.
     #[arg(value_name = "OBJECT", value_parser = parse_object)]
     objects: Vec<u64>,
-    /// Groups of objects, by number.
+    /// Number of a group of objects to purge; may be repeated.
     #[arg(long = "group", value_name = "NUMBER")]
     groups: Vec<u16>,
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("'{0}' is no object: 1 to {MAX_OBJECT_DIGITS} hexadecimal digits, as 7f3a9c21e0b4d655")]
+#[error("'{0}' is no object: 1 to {MAX_OBJECT_DIGITS} hexadecimal digits, such as 7f3a9c21e0b4d655")]
 struct InvalidObject(String);
 
 fn parse_object(text: &str) -> Result<u64, InvalidObject> {
@@ -47,13 +47,13 @@
     object.ok_or_else(|| InvalidObject(text.to_owned()))
 }
 
-/// Runs the command.
+/// Runs the `purge` command.
 pub(super) fn run(options: Options) -> ExitCode {
     let settings = match options.product.as_deref().map(script::read).transpose() {
         Ok(product) => product.and_then(|product| product.purge_log),
         Err(error) => return fail(&error.to_string()),
     };
-    let settings_or_usual = settings.clone().unwrap_or_else(|| Settings::new(Vec::new(), ""));
+    let settings_or_default = settings.clone().unwrap_or_else(|| Settings::new(Vec::new(), ""));
     let configured =
         settings.map(|settings| Target { endpoints: settings.endpoints, prefix: settings.prefix });
     let Some(target) = Target::choose(options.endpoint, options.prefix, configured) else {
@@ -74,12 +74,12 @@
     let appended = Client::connect(&target.endpoints, max_message_bytes)
         .and_then(|mut client| append_entry(&mut client, &target.prefix, &covers));
     exit_code(appended.map(|Appended { number, revision }| {
-        let within_ms = settings_or_usual.max_staleness / 1000;
-        println!("purge {number} is in the log at revision {revision}; it is in force at every doorman within {within_ms} ms");
+        let within_ms = settings_or_default.max_staleness / 1000;
+        println!("purge {number} is in the log at revision {revision}; it takes effect on every instance within {within_ms} ms");
     }))
 }
 
-/// An entry that was committed.
+/// An entry that was committed to the purge log.
 struct Appended {
     number: u64,
     revision: i64,
@@ -89,7 +89,7 @@
     let head_key = format!("{prefix}{HEAD}").into_bytes();
     for _ in 0..MAX_ATTEMPTS {
         let head = client.get(&head_key)?;
-        // A clock before 1970 counts as 1970: the log's own times never go back.
+        // A system clock before 1970 counts as 1970. The log keeps its times monotonic in any case.
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let value = head.as_ref().map(|kv| kv.value.as_slice());
         let (entry, writes) = append(value, unix_time.as_millis() as u64, covers.to_vec())?;
--- a/src/cli/registry/commands.rs
+++ b/src/cli/registry/commands.rs
@@ -1,6 +1,6 @@
-//! The commands themselves, on a connection to the registry.
+//! The `registry` subcommands, run on a connection to the registry.
 
-use super::output::{endpoint_line, id_text, state_word};
+use super::output::{endpoint_line, id_text, state_name};
 use super::{Client, Command, PutOptions};
 use crate::cli::error::CommandError;
 use crate::registry::grpc::ChannelEvent;
@@ -12,9 +12,9 @@
 use crate::registry::record::{State, StoredRecord};
 use prost::Message;
 
-/// Keys that are read at a time.
+/// Number of keys requested per page.
 const PAGE_KEYS: i64 = 500;
-/// The type of an event that puts its key.
+/// Type of an event that writes its key; every other type is a deletion.
 const EVENT_PUT: i32 = 0;
 
 pub(super) fn run(client: &mut Client, prefix: &str, command: Command) -> Result<(), CommandError> {
@@ -35,7 +35,7 @@
     Ok(format!("{prefix}{id}").into_bytes())
 }
 
-/// Makes a change if the key is still as it was read; returns the revision.
+/// Commits an operation if the key still has the mod revision that was read, and returns the new revision.
 fn change(
     client: &mut Client,
     key: &[u8],
@@ -73,7 +73,7 @@
     client.open_watch(&WatchRequest { request: Some(watch_request::Request::Create(create)) });
     let mut printed = 0;
     while printed < max_changes {
-        // Nothing within the timeout is usual on a watch.
+        // A wait that times out is normal on a watch without changes.
         for event in client.wait(None)?.into_iter().flatten() {
             printed += match event {
                 ChannelEvent::Message { bytes, .. } => print_changes(prefix, &WatchResponse::decode(bytes)?)?,
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Prints the changes of a message; returns how many there were.
+/// Prints the changes in a watch response and returns their number.
 fn print_changes(prefix: &str, message: &WatchResponse) -> Result<usize, CommandError> {
     if message.canceled {
         return Err(CommandError::WatchCancelled(message.cancel_reason.clone()));
@@ -122,23 +122,23 @@
     Ok(())
 }
 
-/// Gives a record another state and leaves everything else in it as it is, including what this version does not know.
+/// Changes the state in a record and keeps all its other fields, including those that this version doesn't know.
 fn set_state(client: &mut Client, prefix: &str, id: &str, state: State) -> Result<(), CommandError> {
     let key = key_of(prefix, id)?;
     let kv = client.get(&key)?.ok_or_else(|| CommandError::NotListed(id.to_owned()))?;
     let unreadable = |source| CommandError::UnreadableRecord { id: id.to_owned(), source };
     let mut json: serde_json::Value = serde_json::from_slice(&kv.value).map_err(unreadable)?;
     let record: StoredRecord = serde_json::from_slice(&kv.value).map_err(unreadable)?;
-    let word = state_word(state);
+    let name = state_name(state);
     if record.state == state {
-        println!("{id} is {word} already, since revision {}", kv.mod_revision);
+        println!("{id} is {name} already, since revision {}", kv.mod_revision);
         return Ok(());
     }
-    json["state"] = word.into();
+    json["state"] = name.into();
     let value = json.to_string().into_bytes();
     let request = PutRequest { key: key.clone(), value, lease: kv.lease };
     let revision = change(client, &key, kv.mod_revision, request_op::Request::Put(request))?;
-    println!("{id} is {word} from revision {revision} on");
+    println!("{id} is {name} from revision {revision} on");
     Ok(())
 }
 
--- a/src/cli/registry/mod.rs
+++ b/src/cli/registry/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' commands on the list of endpoints in the registry: show it, watch it, change it.
+//! The `registry` commands, which show, watch and change the endpoint list in the registry.
 //!
-//! Each is one short conversation. A change is made only if the record is still as it was read, so that two operators,
-//! or an operator and an endpoint, can't undo each other's.
+//! Each command uses a connection of its own. A change is committed only if the record is unchanged since it was read,
+//! so that two operators, or an operator and an endpoint, can't overwrite each other's changes.
 
 mod commands;
 mod output;
@@ -19,10 +19,10 @@
     /// The settings script that names the registry.
     #[arg(long, env = "LARCHDALE_PRODUCT", value_name = "FILE", global = true)]
     product: Option<PathBuf>,
-    /// A member of the registry, in place of the script's.
+    /// Address of a registry member; overrides the endpoints of the script.
     #[arg(long, value_name = "ADDRESS", global = true)]
     endpoint: Option<SocketAddr>,
-    /// What the keys begin with, in place of the script's.
+    /// Prefix of the keys; overrides that of the script.
     #[arg(long, value_name = "PREFIX", global = true)]
     prefix: Option<String>,
     #[command(subcommand)]
@@ -33,59 +33,59 @@
 enum Command {
     /// List the endpoints.
     Ls,
-    /// Print changes as they are committed.
+    /// Print changes to the list as they are committed.
     Watch {
-        /// End after so many changes.
+        /// Exit after this number of changes.
         #[arg(long)]
         count: Option<usize>,
     },
-    /// Write an endpoint's record.
+    /// Add an endpoint or replace its record.
     Put(PutOptions),
     /// Drain an endpoint: it finishes its requests and gets no new ones.
     Drain {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
     },
-    /// Give a drained endpoint new requests again.
+    /// Make a draining endpoint receive new requests again.
     Ready {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
     },
     /// Remove an endpoint from the list.
     Remove {
-        /// Its id.
+        /// Id of the endpoint.
         id: String,
     },
 }
 
 #[derive(Args, Debug)]
 struct PutOptions {
-    /// Its id.
+    /// Id of the endpoint.
     id: String,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     #[arg(long)]
     address: SocketAddr,
-    /// Its kind, as in the settings.
+    /// Kind of the endpoint, as named in the settings.
     #[arg(long)]
     kind: String,
-    /// Its zone, as in the settings.
+    /// Zone of the endpoint, as named in the settings.
     #[arg(long)]
     zone: String,
-    /// Its cell.
+    /// Cell of the endpoint.
     #[arg(long, default_value_t = 0)]
     cell: u32,
-    /// Its weight.
+    /// Weight of the endpoint.
     #[arg(long, default_value_t = 1.0)]
     weight: f64,
-    /// Unix millisecond of its start.
+    /// Start time of the endpoint, in milliseconds since the Unix epoch.
     #[arg(long, default_value_t = 0)]
     started_ms: u64,
-    /// Attach the record to a new lease of so many seconds: it is deleted when the lease expires.
+    /// Attach the record to a new lease of this many seconds; the record is deleted when the lease expires.
     #[arg(long, value_name = "SECONDS")]
     lease: Option<i64>,
 }
 
-/// Runs the command.
+/// Runs a `registry` command.
 pub(super) fn run(options: Options) -> ExitCode {
     let settings = match options.product.as_deref().map(script::read).transpose() {
         Ok(product) => product.and_then(|product| product.registry),
--- a/src/cli/registry_client.rs
+++ b/src/cli/registry_client.rs
@@ -1,5 +1,5 @@
-//! A connection to the registry on which one call at a time is made, and waited for. The commands on the list of
-//! endpoints and on the purge log use it.
+//! A blocking registry client that makes one call at a time. The commands on the endpoint list and on the purge log
+//! use it.
 
 use super::error::CommandError;
 use crate::net::connection::Transport;
@@ -15,21 +15,22 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a dial or an answer may take.
+/// Time limit for establishing a connection and for the answer to a call.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the event loop waits at a time while a dial is under way.
+/// Longest wait of the event loop between checks of a connection that is being established.
 const DIAL_POLL: Duration = Duration::from_millis(50);
-/// What a compare of a transaction looks at: the revision of the key's last change.
+/// Compare target of a transaction: the mod revision, which is the revision of the key's last change.
 const TARGET_MOD_REVISION: i32 = 2;
 
-/// The members of a registry, and the prefix of the keys.
+/// The registry members and the key prefix that a command uses.
 pub(super) struct Target {
     pub(super) endpoints: Vec<SocketAddr>,
     pub(super) prefix: String,
 }
 
 impl Target {
-    /// What the arguments name, and otherwise what the settings do; `None`: neither names both.
+    /// Combines arguments and settings, with arguments taking precedence; `None` if the endpoints or the prefix are in
+    /// neither.
     pub(super) fn choose(
         endpoint: Option<SocketAddr>,
         prefix: Option<String>,
@@ -78,7 +79,8 @@
         Ok(Client { event_loop, channel, ready, last_call: 0 })
     }
 
-    /// Waits for something to happen on the connection; `None`: nothing did until the deadline.
+    /// Waits for events on the connection; returns `None` if none occurred within [`ANSWER_TIMEOUT`] or by the
+    /// deadline, if one is given.
     pub(super) fn wait(
         &mut self,
         deadline: Option<Instant>,
@@ -89,12 +91,12 @@
             if !events.is_empty() {
                 return Ok(Some(events));
             }
-            let left = deadline
+            let remaining = deadline
                 .map_or(ANSWER_TIMEOUT, |deadline| deadline.saturating_duration_since(Instant::now()));
-            if left.is_zero() {
+            if remaining.is_zero() {
                 return Ok(None);
             }
-            let wait = if self.channel.wants_turn() { Duration::ZERO } else { left };
+            let wait = if self.channel.wants_turn() { Duration::ZERO } else { remaining };
             self.event_loop.wait(wait, &mut self.ready)?;
             self.ready.clear();
             if self.event_loop.take_signals().shutdown {
@@ -132,7 +134,7 @@
         Err(CommandError::TimedOut)
     }
 
-    /// Opens a stream of watches with its first request.
+    /// Opens a watch stream by its first request.
     pub(super) fn open_watch(&mut self, request: &WatchRequest) {
         self.last_call += 1;
         self.channel.call(self.last_call, path::WATCH, request, false);
@@ -145,8 +147,8 @@
         Ok(answer.kvs.into_iter().next())
     }
 
-    /// Carries operations out as one transaction if the key still has this mod revision (0: is not there); returns the
-    /// revision. `None`: it has not, and nothing was done.
+    /// Commits operations as one transaction if the key still has this mod revision (0: the key is absent) and returns
+    /// the new revision; `None` if the mod revision differs, in which case nothing is written.
     pub(super) fn commit(
         &mut self,
         key: &[u8],
