--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The door for operators: what a caller may say, how much of it is kept, and what the instance reports.
+//! The admin endpoint: its calls, its limits on connections, and the metrics that the instance reports.
 //!
-//! No input or output: [`Call::decode`] reads a line, [`Callers`] decides who has a place and for how long,
-//! [`Figures`] counts and writes itself out. The driver is `src/proxy/admin.rs`.
+//! This module does no input or output: [`Call::decode`] parses a line, [`Callers`] limits the number and the duration
+//! of connections, and [`Figures`] counts requests and renders the metrics. The driver is `src/proxy/admin.rs`.
 
 #[cfg(test)]
 mod tests;
@@ -10,54 +10,56 @@
 use crate::routing::events::Micros;
 use std::fmt::Write;
 
-/// Callers at a time. Each has a descriptor of its own, which clients can't take.
+/// Maximum number of concurrent admin connections. Their file descriptors are reserved, so that client connections
+/// can't exhaust them.
 pub const PLACES: usize = 16;
-/// A caller has so long for its line, and then again for taking the answer. Some come to say nothing.
+/// Time limit for receiving a connection's line, and again for sending the answer, in microseconds. Some connections
+/// never send anything.
 pub const PATIENCE: Micros = 2_000_000;
-/// Longest line that may be a call; more is not kept.
-const LONGEST: usize = 64;
+/// Maximum length of a call's line in bytes; a longer line is rejected.
+const MAX_LINE_BYTES: usize = 64;
 
-/// What an operator may ask for.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Does this process take clients?
+    /// Reports whether this process accepts clients.
     Status,
-    /// What has been counted.
+    /// Reports the metrics.
     Stats,
-    /// Empty the instance.
+    /// Drains the instance.
     Standby,
-    /// Take clients again.
+    /// Accepts clients again.
     Active,
 }
 
-/// Why a line is no call.
+/// An error that makes a line invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoCall {
-    /// No such call.
+    /// There is no call of this name.
     Unknown,
-    /// Longer than any call.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
 }
 
 impl std::fmt::Display for NoCall {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let what = match self {
+        let message = match self {
             NoCall::Unknown => "unknown call",
             NoCall::TooLong => "line too long",
         };
-        write!(f, "{what}; the calls are status, stats, standby and active, one line a connection")
+        write!(f, "{message}; the calls are status, stats, standby and active, one line a connection")
     }
 }
 
 impl std::error::Error for NoCall {}
 
 impl Call {
-    /// Reads the call that `bytes` begin with; `None`: its line has not come to an end yet.
+    /// Parses the call at the start of `bytes`; `None` while its line is incomplete.
     pub fn decode(bytes: &[u8]) -> Result<Option<Call>, NoCall> {
-        let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
-            return if bytes.len() > LONGEST { Err(NoCall::TooLong) } else { Ok(None) };
+        let Some(end) = bytes.iter().position(|&byte| byte == b'\n') else {
+            return if bytes.len() > MAX_LINE_BYTES { Err(NoCall::TooLong) } else { Ok(None) };
         };
-        if end > LONGEST {
+        if end > MAX_LINE_BYTES {
             return Err(NoCall::TooLong);
         }
         match bytes[..end].trim_ascii() {
@@ -70,111 +72,111 @@
     }
 }
 
-/// Who has a place at the door: `K` names a caller.
+/// The open admin connections, identified by `K`.
 #[derive(Debug)]
 pub struct Callers<K> {
-    /// Oldest first, with whether its line has come and when its patience ends.
-    places: Vec<(K, bool, Micros)>,
+    /// The connections, oldest first: the key, whether its line has been received, and its deadline.
+    connections: Vec<(K, bool, Micros)>,
 }
 
 impl<K: Copy + PartialEq> Default for Callers<K> {
     fn default() -> Self {
-        Callers { places: Vec::new() }
+        Callers { connections: Vec::new() }
     }
 }
 
 impl<K: Copy + PartialEq> Callers<K> {
-    /// Takes a new caller. With all places taken another one goes for it: the oldest of those who have not
-    /// said anything whole, or else the oldest of all.
-    pub fn come(&mut self, who: K, now: Micros) -> Option<K> {
-        let full = self.places.len() >= PLACES;
-        let goes = full.then(|| self.places.iter().position(|p| !p.1).unwrap_or(0));
-        let gone = goes.map(|at| self.places.remove(at).0);
-        self.places.push((who, false, now + PATIENCE));
-        gone
+    /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a complete
+    /// line, or else the oldest of all.
+    pub fn come(&mut self, key: K, now: Micros) -> Option<K> {
+        let is_full = self.connections.len() >= PLACES;
+        let evicted_at = is_full.then(|| self.connections.iter().position(|entry| !entry.1).unwrap_or(0));
+        let evicted = evicted_at.map(|at| self.connections.remove(at).0);
+        self.connections.push((key, false, now + PATIENCE));
+        evicted
     }
 
-    /// Its line has come; from now on it takes its answer.
-    pub fn called(&mut self, who: K, now: Micros) {
-        if let Some(place) = self.places.iter_mut().find(|p| p.0 == who) {
-            (place.1, place.2) = (true, now + PATIENCE);
+    /// Records that the line of a connection has been received, and restarts its time limit for the answer.
+    pub fn called(&mut self, key: K, now: Micros) {
+        if let Some(entry) = self.connections.iter_mut().find(|entry| entry.0 == key) {
+            (entry.1, entry.2) = (true, now + PATIENCE);
         }
     }
 
-    /// It has left.
-    pub fn left(&mut self, who: K) {
-        self.places.retain(|p| p.0 != who);
+    /// Removes a closed connection.
+    pub fn left(&mut self, key: K) {
+        self.connections.retain(|entry| entry.0 != key);
     }
 
-    /// Takes out those whose patience has ended.
+    /// Removes and returns the connections whose time limit has passed.
     pub fn overdue(&mut self, now: Micros) -> Vec<K> {
-        let over = |p: &&(K, bool, Micros)| p.2 <= now;
-        let gone: Vec<K> = self.places.iter().filter(over).map(|p| p.0).collect();
-        self.places.retain(|p| p.2 > now);
-        gone
+        let is_overdue = |entry: &&(K, bool, Micros)| entry.2 <= now;
+        let removed: Vec<K> = self.connections.iter().filter(is_overdue).map(|entry| entry.0).collect();
+        self.connections.retain(|entry| entry.2 > now);
+        removed
     }
 }
 
-/// How a request ended, as operators count.
+/// Status of an ended request in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served.
+    /// The request was served.
     Success,
-    /// Refused.
+    /// The request was rejected.
     Overload,
-    /// Failed, or nobody waits for it any more.
+    /// The request failed, or its client disconnected.
     Error,
 }
 
-/// What one class's requests came to.
+/// Number of ended requests of one class, by status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Replies {
     class: String,
     ended: [u64; 3],
 }
 
-/// What the instance counts for its operators, from the start of the process on.
+/// The counters that the instance reports, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Every class that there has ever been.
+    /// Counts of all classes since the start of the process, including dropped classes.
     replies: Vec<Replies>,
-    taken: u64,
+    accepted: u64,
     ended: u64,
-    /// Attempts written whole to endpoints.
+    /// Number of attempts sent completely to endpoints.
     pub dispatches: u64,
-    /// Configurations taken over and turned down at SIGHUP.
+    /// Number of configurations applied and rejected on SIGHUP.
     pub reloads: [u64; 2],
 }
 
-/// What is looked up when the figures are asked for.
+/// Values that are read when the metrics are requested.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Endpoints in the list.
+    /// Number of endpoints in the list.
     pub targets: usize,
-    /// Those among them that the module avoids.
+    /// Number of those endpoints that the router avoids.
     pub avoided: usize,
-    /// What this instance sees of the others, where they talk to each other.
+    /// Metrics of gossip, if enabled.
     pub peers: Option<PeerFigures>,
-    /// What the fleet does as one, by name, where that is on.
+    /// Metrics of the enabled fleet-wide features, by name.
     pub fleet: Vec<(&'static str, u64)>,
 }
 
-/// What an instance sees of the others of its fleet.
+/// Metrics of an instance's gossip with its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerFigures {
-    /// Members alive, suspect, dead, left; this instance among them.
+    /// Number of members that are alive, suspect, dead and left, including this instance.
     pub by_state: [usize; 4],
-    /// What the view counts.
+    /// Counters of the gossip protocol.
     pub counts: crate::gossip::Counts,
-    /// Datagrams that found no room or could not be sent.
+    /// Number of datagrams dropped from the full send queue or not sent because of an error.
     pub dropped: u64,
-    /// Datagrams from addresses that are nobody's.
+    /// Number of datagrams from addresses of no member.
     pub strangers: u64,
 }
 
 impl PeerFigures {
     fn lines(&self) -> [(&'static str, u64); 10] {
-        let [alive, suspect, dead, left] = self.by_state.map(|n| n as u64);
+        let [alive, suspect, dead, left] = self.by_state.map(|count| count as u64);
         [
             ("peers{state=\"alive\"}", alive),
             ("peers{state=\"suspect\"}", suspect),
@@ -191,35 +193,36 @@
 }
 
 impl Figures {
-    /// Where a class is counted; a class that is new, or was there before, keeps what it has.
+    /// Returns the index at which a class is counted, and adds the class if it is new. A class that is dropped and added
+    /// again keeps its counts.
     pub fn class(&mut self, name: &str) -> usize {
-        if let Some(at) = self.replies.iter().position(|r| r.class == name) {
+        if let Some(at) = self.replies.iter().position(|replies| replies.class == name) {
             return at;
         }
         self.replies.push(Replies { class: name.to_owned(), ended: [0; 3] });
         self.replies.len() - 1
     }
 
-    /// A request is taken.
+    /// Counts an accepted request.
     pub fn took(&mut self) {
-        self.taken += 1;
+        self.accepted += 1;
     }
 
-    /// A request that was taken has ended; `class` is from [`Figures::class`].
+    /// Counts the end of an accepted request; `class` is an index from [`Figures::class`].
     pub fn ended(&mut self, class: usize, end: End) {
         if let Some(replies) = self.replies.get_mut(class) {
             replies.ended[end as usize] += 1;
             self.ended += 1;
         }
-        invariant!(self.ended <= self.taken, "what has ended was taken");
+        invariant!(self.ended <= self.accepted, "a request that ends was counted when it was accepted");
     }
 
-    /// Requests taken that have not ended.
+    /// Returns the number of accepted requests that have not ended.
     pub fn concurrent(&self) -> u64 {
-        self.taken.saturating_sub(self.ended)
+        self.accepted.saturating_sub(self.ended)
     }
 
-    /// All figures, one a line, and a line that says that these were all.
+    /// Renders all metrics, one per line, followed by the line `end`.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, labels: &str, value: u64| {
@@ -227,7 +230,7 @@
         };
         for replies in &self.replies {
             for (status, count) in ["success", "overload", "error"].iter().zip(replies.ended) {
-                let labels = format!("{{type=\"{}\",status=\"{status}\"}}", escaped(&replies.class));
+                let labels = format!("{{type=\"{}\",status=\"{status}\"}}", escape_label(&replies.class));
                 line("replies_total", &labels, count);
             }
         }
@@ -248,14 +251,14 @@
     }
 }
 
-/// For the log: what each class came to, served, refused and failed.
+/// The form for the log: for each class the number of served, rejected and failed requests.
 impl std::fmt::Display for Figures {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.replies.iter().try_for_each(|r| write!(f, "{} {:?} ", r.class, r.ended))
+        self.replies.iter().try_for_each(|replies| write!(f, "{} {:?} ", replies.class, replies.ended))
     }
 }
 
-/// A name as the value of a label: backslash, quote and line feed are written with a backslash before them.
-fn escaped(name: &str) -> String {
+/// Escapes a name for use as a label value: backslash, quote and line feed get a backslash before them.
+fn escape_label(name: &str) -> String {
     name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
