--- a/src/bin/simulator_adapter.rs
+++ b/src/bin/simulator_adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts routers on the wire: one line of JSON in, one line out. It translates and decides nothing.
+//! Adapter that runs routers for a simulator: reads one batch of events as a line of JSON and writes one line of JSON
+//! with the resulting actions. It only translates; the routers make all decisions.
 #![forbid(unsafe_code)]
 
 use larchdale::config::settings::Document;
@@ -21,14 +22,14 @@
     input: Vec<&'a RawValue>,
 }
 
-/// What kind of event a line's part is.
+/// The kind of one event in a batch.
 #[derive(Deserialize)]
 struct Verb<'a> {
     #[serde(borrow)]
     verb: Cow<'a, str>,
 }
 
-/// The kinds that are known; others are skipped.
+/// The supported event kinds; events of other kinds are skipped.
 const VERBS: [&str; 9] =
     ["ATTACH", "KILLED", "UPDATE", "ORDER", "COMPLETED", "ESTABLISHED", "HANGUP", "PURGED", "BELL"];
 
@@ -102,10 +103,12 @@
     Bell { router_id: u64, r#ref: u64 },
 }
 
-/// Reads one event, unless its kind is not known.
-/// Guards figures: where the kind stood among the fields, serde would keep the rest in a buffer on the way, and
-/// that loses numbers with a point as soon as any library of the build asks serde_json for arbitrary precision.
-fn wire_event(raw: &RawValue) -> Result<Option<WireEvent>, String> {
+/// Parses one event; `None` if its kind is not supported.
+///
+/// The kind is parsed separately and wrapped around the event as its enum tag. With an internally tagged enum, serde would
+/// buffer the other fields, and that loses floating-point numbers as soon as any crate in the build enables the
+/// `arbitrary_precision` feature of serde_json.
+fn parse_event(raw: &RawValue) -> Result<Option<WireEvent>, String> {
     let Verb { verb } = serde_json::from_str(raw.get()).map_err(|e| e.to_string())?;
     if !VERBS.contains(&&*verb) {
         return Ok(None);
@@ -164,39 +167,39 @@
     StreamChanges { router_id: u64, enable: bool },
 }
 
-/// A router and what its settings say of kinds.
+/// A router, with the settings that map endpoint kinds to roles.
 struct Host {
     router: Router,
     settings: Box<Document>,
 }
 
-fn object(text: &str) -> Result<u64, String> {
+fn parse_object(text: &str) -> Result<u64, String> {
     if text.is_empty() {
         return Ok(0);
     }
-    u64::from_str_radix(text, 16).map_err(|_| format!("object '{text}' is not hex"))
+    u64::from_str_radix(text, 16).map_err(|_| format!("object id '{text}' is not a hexadecimal number"))
 }
 
 impl Host {
-    fn member(&self, m: WireMember) -> Endpoint {
+    fn endpoint(&self, member: WireMember) -> Endpoint {
         Endpoint {
-            id: m.cache,
-            role: self.settings.role(m.family_type),
-            state: match m.mode.as_str() {
+            id: member.cache,
+            role: self.settings.role(member.family_type),
+            state: match member.mode.as_str() {
                 "healthy" => EndpointState::Healthy,
                 "cordoned" => EndpointState::Draining,
                 _ => EndpointState::Removed,
             },
-            zone: m.site,
-            cell: m.pod,
-            kind: m.family_type.max(0) as u32,
-            weight: m.weight,
-            started_at: m.came_up_us,
+            zone: member.site,
+            cell: member.pod,
+            kind: member.family_type.max(0) as u32,
+            weight: member.weight,
+            started_at: member.came_up_us,
         }
     }
 }
 
-fn code(text: &str) -> Result<AttemptStatus, String> {
+fn attempt_status(text: &str) -> Result<AttemptStatus, String> {
     Ok(match text {
         "S" => AttemptStatus::Served,
         "E" => AttemptStatus::Error,
@@ -211,7 +214,7 @@
     })
 }
 
-fn note(number: u32) -> CacheStatus {
+fn cache_status(number: u32) -> CacheStatus {
     match number {
         1 => CacheStatus::Hit,
         2 => CacheStatus::Filled,
@@ -227,13 +230,13 @@
     }
 }
 
-fn report(values: BTreeMap<String, f64>) -> LoadReport {
+fn load_report(values: BTreeMap<String, f64>) -> LoadReport {
     let value = |name: &str| values.get(name).copied().unwrap_or(-1.0);
     LoadReport { active: value("active"), utilization: value("cpu"), hit_ratio: value("x0") }
 }
 
-/// The instance an event is for and the event in the module's words.
-fn event(wire: WireEvent, hosts: &BTreeMap<u64, Host>) -> Result<Option<(u64, Event)>, String> {
+/// Converts an event for the router; returns it with the id of the instance that it is for.
+fn router_event(wire: WireEvent, hosts: &BTreeMap<u64, Host>) -> Result<Option<(u64, Event)>, String> {
     Ok(Some(match wire {
         WireEvent::Update { router_id, scope, elements } => {
             let Some(host) = hosts.get(&router_id) else {
@@ -243,7 +246,7 @@
                 "X" => Event::WatchFailed,
                 "D" | "F" | "C" => Event::Endpoints {
                     complete: scope != "D",
-                    endpoints: elements.into_iter().map(|m| host.member(m)).collect(),
+                    endpoints: elements.into_iter().map(|member| host.endpoint(member)).collect(),
                 },
                 other => return Err(format!("unknown scope '{other}' of UPDATE")),
             };
@@ -254,7 +257,7 @@
             Event::Request(Request {
                 id: ticket,
                 class,
-                object: object(&asset)?,
+                object: parse_object(&asset)?,
                 chunk: part as u64,
                 purge_group: label_no as u64,
                 timeout: budget_us,
@@ -269,19 +272,19 @@
             leg,
             time_taken_us,
             fill_wait_us,
-            note: number,
+            note,
             metrics,
         } => (
             router_id,
             Event::Outcome(Outcome {
                 request: ticket,
                 attempt: leg,
-                status: code(&result)?,
+                status: attempt_status(&result)?,
                 is_final: last,
                 elapsed: time_taken_us,
                 fill_wait: fill_wait_us,
-                cache_status: note(number),
-                load_report: metrics.map(report),
+                cache_status: cache_status(note),
+                load_report: metrics.map(load_report),
             }),
         ),
         WireEvent::Established { router_id, ticket } => {
@@ -292,7 +295,7 @@
             router_id,
             Event::Purged {
                 object: match asset {
-                    Some(text) => Some(object(&text)?).filter(|&o| o != 0),
+                    Some(text) => Some(parse_object(&text)?).filter(|&object| object != 0),
                     None => None,
                 },
                 purge_group: group,
@@ -304,7 +307,7 @@
     }))
 }
 
-fn action(router_id: u64, action: Action) -> WireAction {
+fn wire_action(router_id: u64, action: Action) -> WireAction {
     match action {
         Action::Send { request, server, until, fetch: None } => {
             WireAction::Dispatch { router_id, ticket: request, cache: server, stop_at_us: until }
@@ -314,7 +317,7 @@
             ticket: request,
             cache: server,
             stop_at_us: until,
-            manner: manner(&fetch),
+            manner: fetch_flags(&fetch),
             from_where: fetch.source,
             store_as: fetch.cache_priority,
             oldness_us: fetch.max_age,
@@ -331,16 +334,16 @@
     }
 }
 
-fn manner(fetch: &Fetch) -> u32 {
+fn fetch_flags(fetch: &Fetch) -> u32 {
     u32::from(fetch.join_fill) + 2 * u32::from(fetch.cached_only) + 8 * u32::from(fetch.revalidate)
 }
 
-fn batch(line: &str, hosts: &mut BTreeMap<u64, Host>) -> Result<Reply, String> {
+fn handle_batch(line: &str, hosts: &mut BTreeMap<u64, Host>) -> Result<Reply, String> {
     let batch: Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
     let mut out = Vec::new();
     let mut actions = Vec::new();
     for raw in batch.input {
-        let Some(wire) = wire_event(raw)? else { continue };
+        let Some(wire) = parse_event(raw)? else { continue };
         match wire {
             WireEvent::Attach { router_id, rng_seed, settings } => {
                 let router = Router::new(settings.for_router(), rng_seed);
@@ -350,10 +353,10 @@
                 hosts.remove(&router_id);
             }
             wire => {
-                if let Some((router_id, event)) = event(wire, hosts)? {
+                if let Some((router_id, event)) = router_event(wire, hosts)? {
                     if let Some(host) = hosts.get_mut(&router_id) {
                         host.router.handle(batch.now, event, &mut actions);
-                        out.extend(actions.drain(..).map(|a| action(router_id, a)));
+                        out.extend(actions.drain(..).map(|action| wire_action(router_id, action)));
                     }
                 }
             }
@@ -366,14 +369,14 @@
     let mut hosts = BTreeMap::new();
     let mut stdout = std::io::stdout().lock();
     for (number, line) in std::io::stdin().lock().lines().enumerate() {
-        let at = |e: String| format!("line {}: {e}", number + 1);
-        let line = line.map_err(|e| at(e.to_string()))?;
+        let with_line_number = |e: String| format!("line {}: {e}", number + 1);
+        let line = line.map_err(|e| with_line_number(e.to_string()))?;
         if line.trim().is_empty() {
             continue;
         }
-        let reply = batch(&line, &mut hosts).map_err(at)?;
-        serde_json::to_writer(&mut stdout, &reply).map_err(|e| at(e.to_string()))?;
-        stdout.write_all(b"\n").and_then(|()| stdout.flush()).map_err(|e| at(e.to_string()))?;
+        let reply = handle_batch(&line, &mut hosts).map_err(with_line_number)?;
+        serde_json::to_writer(&mut stdout, &reply).map_err(|e| with_line_number(e.to_string()))?;
+        stdout.write_all(b"\n").and_then(|()| stdout.flush()).map_err(|e| with_line_number(e.to_string()))?;
     }
     Ok(())
 }
