--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -1,11 +1,11 @@
-//! Checks of what must always hold: asserted in debug builds, counted in release builds.
+//! Runtime checks of invariants, which panic in debug builds and are counted in release builds.
 
 use std::sync::atomic::AtomicU64;
 
-/// How often an invariant did not hold, in a release build (a debug build panics at once).
+/// Number of failed invariant checks in a release build; a debug build panics on the first one.
 pub static BROKEN_INVARIANTS: AtomicU64 = AtomicU64::new(0);
 
-/// States what must hold: asserted in debug builds, counted in release builds.
+/// Checks an invariant: panics on failure in debug builds and counts the failure in release builds.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $what:literal) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The instance and its operators' commands.
+//! The `larchdale` program: the instance and the operators' commands.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
