--- a/src/growth/ahead.rs
+++ b/src/growth/ahead.rs
@@ -252,7 +252,7 @@
         self.requested_changes.clone()
     }
 
-    /// Returns a replacement of documents whose buckets are no longer part of the history, at most [`MAX_REMOVED`] of
+    /// Returns a replacement of documents whose buckets are no longer part of the history, at most 100 of
     /// them; `None` if there are none.
     pub fn compaction<'a>(&self, keys: impl Iterator<Item = &'a str>) -> Option<Compaction> {
         let base = self.merged.base()?;
--- a/src/growth/buckets.rs
+++ b/src/growth/buckets.rs
@@ -10,8 +10,8 @@
 //! Lumbroso 2010), with the object's size and whether it was written. Because only this one object counts, repeated
 //! requests change nothing, and the registers' objects are an unbiased sample of all distinct ones, from which the mean
 //! size is computed. Registers are merged by maximum, so that repeated, late and merged buckets and restarts are not
-//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`STANDARD_ERROR`]. A `hyperloglogplus` sketch with
-//! separate sums was ruled out, because sums can't be merged by maximum.
+//! counted twice. The standard error of one cell is 1 / sqrt(4,096), [`STANDARD_ERROR`]. A `hyperloglogplus` sketch
+//! with separate sums was ruled out, because sums can't be merged by maximum.
 //!
 //! Memory does not depend on the number of shards: an instance uses 512 KB and at most [`MAX_WAITING_BYTES`] for closed
 //! buckets. For each register, the planner keeps only the buckets in which it increased, about the logarithm of the
@@ -59,9 +59,9 @@
     (f64::from(register >> 1 & 16_383) / 256.0 - 16.0).exp2()
 }
 
-/// Estimates the distinct objects of a cell with `non_empty` non-empty registers; `sum` is the sum of the smallest
-/// hashes, in which an empty register counts 1. One formula covers small and large counts, so that a series has no step
-/// where two estimators would meet.
+/// Estimates the distinct objects of a cell of whose registers `non_empty` are not empty; `sum` is the sum of the
+/// smallest hashes, in which an empty register counts 1. One formula covers small and large counts, so that a series
+/// has no step where two estimators would meet.
 fn estimate_distinct(non_empty: f64, sum: f64) -> f64 {
     let bias_correction = 1.0 - 1.0 / REGISTERS as f64;
     REGISTERS as f64 * non_empty * bias_correction / sum.max(1e-12)
--- a/src/growth/splits.rs
+++ b/src/growth/splits.rs
@@ -129,7 +129,7 @@
     }
 
     /// Schedules one shard again. `windows` are the zone's quiet windows from now on, ordered by start and including an
-    /// open one; `moves_ms` is how long moving half of the shard takes, in milliseconds. The run time depends only on
+    /// open one; `half_move_ms` is how long moving half of the shard takes, in milliseconds. The run time depends only on
     /// the number of windows.
     pub fn plan(
         &mut self,
@@ -137,7 +137,7 @@
         shard: &Shard,
         forecast: &Forecast,
         windows: &[Window],
-        moves_ms: u64,
+        half_move_ms: u64,
     ) -> Option<Notice> {
         let scheduled = self.splits.get(&shard.start).copied();
         // A split whose window is open stays scheduled: it may be in progress.
@@ -158,7 +158,7 @@
         // The shard becomes full at some time in that bucket; the start of the bucket is the earliest time.
         let full_at_ms = (u128::from(full_bucket) * u128::from(self.settings.bucket) / 1_000) as u64;
         let ahead = || windows.iter().copied().filter(|w| w.1 > now_ms && w.0 < w.1);
-        let fits_move = |w: &Window| w.1 <= full_at_ms && w.1 - w.0.max(now_ms) >= moves_ms;
+        let fits_move = |w: &Window| w.1 <= full_at_ms && w.1 - w.0.max(now_ms) >= half_move_ms;
         let move_window = ahead().filter(fits_move).max_by_key(|w| w.0);
         let before = move_window.and_then(|m| ahead().filter(|w| w.1 <= m.0).max_by_key(|w| w.0));
         // Too late for a split and a move: schedules the split in the next window, and the planner can move a half
--- a/tests/core_decisions/growth.rs
+++ b/tests/core_decisions/growth.rs
@@ -255,8 +255,8 @@
                 let home = Some(["a", "b"][number / 4].into());
                 let shard = Shard { start, last: start + width - 1, home, capacity_kb: 140_000.0 };
                 let forecast = Forecast::of(&history, &settings);
-                let moves_ms = rng.random_range(0..6 * HOUR_MS);
-                let notice = scheduler.plan(now * HOUR_MS, &shard, &forecast, &windows, moves_ms);
+                let half_move_ms = rng.random_range(0..6 * HOUR_MS);
+                let notice = scheduler.plan(now * HOUR_MS, &shard, &forecast, &windows, half_move_ms);
                 digest.option(notice, |digest, notice| write_notice(digest, &notice));
                 shards.push((shard, forecast));
             }
