--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -5,7 +5,7 @@
 //! lease, and sends its transactions to the registry.
 //!
 //! ```text
-//! Planned --epoch e--> Warming --epoch e+1--> Cutover --> completed (entry gone, shard rests)
+//! Planned --epoch e--> Warming --epoch e+1--> Cutover --> completed (entry removed, shard rests)
 //!    |                    |
 //!    dropped              rolled back with epoch e+1: window ends, a site does not serve, the clock steps, or an
 //!                         endpoint is drained or removed
