--- a/src/purges/log.rs
+++ b/src/purges/log.rs
@@ -158,8 +158,8 @@
 /// Key below the prefix of a log, with its new value.
 pub type Write = (String, Vec<u8>);
 
-/// Returns the entry that appends a purge to a log, and its writes: keys below the prefix with their new values, to be
-/// written in one transaction if the head is still as it was read (`None`: it does not exist).
+/// Returns the entry for a new purge and the writes that append it to a log: keys below the prefix with their new
+/// values, to be written in one transaction if the head is still as it was read (`None`: it does not exist).
 ///
 /// # Errors
 /// The purge has too many scopes or none, the head is unreadable, or the log has reached its last number.
@@ -226,7 +226,7 @@
 /// Counters since the start of the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Entries applied.
+    /// Entries applied, including those too old to require an action.
     pub entries: u64,
     /// Entries that were overwritten before they were read.
     pub missed: u64,
