--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -141,10 +141,10 @@
         let evidence = Evidence {
             now: context.now,
             staleness_deadline: self.log.next_deadline(),
-            confirmed: self.driver.confirmed(),
+            confirmed_at: self.driver.confirmed(),
             phase: self.driver.phase(),
         };
-        self.log.update_confirmation(context.now, evidence.confirmed, &mut actions);
+        self.log.update_confirmation(context.now, evidence.confirmed_at, &mut actions);
         if actions.contains(&Action::Notify(Notice::CutOff)) {
             self.note_cut_off(&evidence, context.log);
         }
@@ -157,7 +157,7 @@
         self.cut_off_causes.add(cause);
         let age = |moment: Micros| evidence.now.saturating_sub(moment) / MICROS_PER_MS;
         info!(log, "purge log cut-off explained"; "cause" => cause.name(), "registry" => ?evidence.phase,
-        "confirmed_ms_ago" => evidence.confirmed.map(age), "judged_late_ms" => age(evidence.staleness_deadline),
+        "confirmed_ms_ago" => evidence.confirmed_at.map(age), "judged_late_ms" => age(evidence.staleness_deadline),
         "check_sent_ms_ago" => match evidence.phase {
             FollowPhase::Checking { sent } => Some(age(sent)),
             _ => None,
--- a/src/purges/cut_off.rs
+++ b/src/purges/cut_off.rs
@@ -20,7 +20,7 @@
     /// Time at which the last confirmation became too old, as known before this turn of the event loop.
     pub staleness_deadline: Micros,
     /// Time as of which the log was last confirmed.
-    pub confirmed: Option<Micros>,
+    pub confirmed_at: Option<Micros>,
     /// Phase of the follower's connection to the registry.
     pub phase: FollowPhase,
 }
--- a/src/purges/cut_off/tests.rs
+++ b/src/purges/cut_off/tests.rs
@@ -6,7 +6,7 @@
 
 fn evidence(late: Micros, phase: FollowPhase) -> Evidence {
     let due = 5_000 * MS;
-    Evidence { now: due + late, staleness_deadline: due, confirmed: Some(due - 1_000 * MS), phase }
+    Evidence { now: due + late, staleness_deadline: due, confirmed_at: Some(due - 1_000 * MS), phase }
 }
 
 #[test]
