--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -34,40 +34,40 @@
 
 /// An error that makes a line invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoCall {
+pub enum InvalidCall {
     /// There is no call of this name.
     Unknown,
     /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
 }
 
-impl std::fmt::Display for NoCall {
+impl std::fmt::Display for InvalidCall {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let message = match self {
-            NoCall::Unknown => "unknown call",
-            NoCall::TooLong => "line too long",
+            InvalidCall::Unknown => "unknown call",
+            InvalidCall::TooLong => "line too long",
         };
         write!(f, "{message}; the calls are status, stats, standby and active, one line a connection")
     }
 }
 
-impl std::error::Error for NoCall {}
+impl std::error::Error for InvalidCall {}
 
 impl Call {
     /// Parses the call at the start of `bytes`; `None` while its line is incomplete.
-    pub fn decode(bytes: &[u8]) -> Result<Option<Call>, NoCall> {
+    pub fn decode(bytes: &[u8]) -> Result<Option<Call>, InvalidCall> {
         let Some(end) = bytes.iter().position(|&byte| byte == b'\n') else {
-            return if bytes.len() > MAX_LINE_BYTES { Err(NoCall::TooLong) } else { Ok(None) };
+            return if bytes.len() > MAX_LINE_BYTES { Err(InvalidCall::TooLong) } else { Ok(None) };
         };
         if end > MAX_LINE_BYTES {
-            return Err(NoCall::TooLong);
+            return Err(InvalidCall::TooLong);
         }
         match bytes[..end].trim_ascii() {
             b"status" => Ok(Some(Call::Status)),
             b"stats" => Ok(Some(Call::Stats)),
             b"standby" => Ok(Some(Call::Standby)),
             b"active" => Ok(Some(Call::Active)),
-            _ => Err(NoCall::Unknown),
+            _ => Err(InvalidCall::Unknown),
         }
     }
 }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -14,11 +14,14 @@
         assert_eq!(Call::decode(partial), Ok(None), "{line:?} is incomplete");
     }
     for line in ["\n", "\r\n", "STATUS\n", "status now\n", "\u{0}\n"] {
-        assert_eq!(Call::decode(line.as_bytes()), Err(NoCall::Unknown), "{line:?}");
+        assert_eq!(Call::decode(line.as_bytes()), Err(InvalidCall::Unknown), "{line:?}");
     }
-    assert_eq!(Call::decode(&[b'x'; MAX_LINE_BYTES + 1]), Err(NoCall::TooLong));
-    assert_eq!(Call::decode(&[&[b' '; MAX_LINE_BYTES + 1][..], b"status\n"].concat()), Err(NoCall::TooLong));
-    assert!(NoCall::Unknown.to_string().contains("status, stats, standby and active"));
+    assert_eq!(Call::decode(&[b'x'; MAX_LINE_BYTES + 1]), Err(InvalidCall::TooLong));
+    assert_eq!(
+        Call::decode(&[&[b' '; MAX_LINE_BYTES + 1][..], b"status\n"].concat()),
+        Err(InvalidCall::TooLong)
+    );
+    assert!(InvalidCall::Unknown.to_string().contains("status, stats, standby and active"));
 }
 
 #[test]
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -138,7 +138,7 @@
 impl AdminClient {
     /// Reads up to the end of the command's line, and discards further input. An operator that closes its
     /// sending side after the line still gets the answer.
-    fn read(&mut self) -> Result<ReadOutcome, crate::admin::NoCall> {
+    fn read(&mut self) -> Result<ReadOutcome, crate::admin::InvalidCall> {
         let mut buffer = [0; READ_CHUNK];
         loop {
             if self.answer.is_none() {
