--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The admin endpoint: its calls, its limits on connections, and the metrics that the instance reports.
 //!
-//! This module does no input or output: [`Call::decode`] parses a line, [`Callers`] limits the number and the duration
+//! This module does no input or output: [`Call::decode`] parses a line, [`AdminConnections`] limits the number and the duration
 //! of connections, and [`Figures`] counts requests and renders the metrics. The driver is `src/proxy/admin.rs`.
 
 #[cfg(test)]
@@ -74,18 +74,18 @@
 
 /// The open admin connections, identified by `K`.
 #[derive(Debug)]
-pub struct Callers<K> {
+pub struct AdminConnections<K> {
     /// The connections, oldest first: the key, whether its line has been received, and its deadline.
     connections: Vec<(K, bool, Micros)>,
 }
 
-impl<K: Copy + PartialEq> Default for Callers<K> {
+impl<K: Copy + PartialEq> Default for AdminConnections<K> {
     fn default() -> Self {
-        Callers { connections: Vec::new() }
+        AdminConnections { connections: Vec::new() }
     }
 }
 
-impl<K: Copy + PartialEq> Callers<K> {
+impl<K: Copy + PartialEq> AdminConnections<K> {
     /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a complete
     /// line, or else the oldest of all.
     pub fn come(&mut self, key: K, now: Micros) -> Option<K> {
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn at_the_limit_the_oldest_connection_without_a_complete_line_is_evicted_first() {
-    let mut connections = Callers::default();
+    let mut connections = AdminConnections::default();
     for key in 0..PLACES {
         assert_eq!(connections.come(key, 0), None);
     }
@@ -94,7 +94,7 @@
     /// removed.
     #[test]
     fn the_number_of_connections_is_bounded(steps in prop::collection::vec((0u8..4, 0usize..40, 0u64..PATIENCE), 1..200)) {
-        let (mut connections, mut now, mut next) = (Callers::default(), 0, 100);
+        let (mut connections, mut now, mut next) = (AdminConnections::default(), 0, 100);
         let mut open: Vec<usize> = Vec::new();
         for (step, index, wait) in steps {
             now += wait / 8;
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -2,7 +2,7 @@
 //! [`crate::admin`] parses the commands and limits the number of connections.
 
 use super::Proxy;
-use crate::admin::{Call, Callers, Gauges};
+use crate::admin::{AdminConnections, Call, Gauges};
 use crate::lifecycle::Event;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::routing::events::Micros;
@@ -40,7 +40,7 @@
     pub(super) token: Token,
     pub(super) listener: TcpListener,
     pub(super) clients: FxHashMap<Token, AdminClient>,
-    slots: Callers<Token>,
+    slots: AdminConnections<Token>,
 }
 
 impl AdminServer {
@@ -51,7 +51,7 @@
     pub(super) fn open(address: SocketAddr, event_loop: &mut EventLoop) -> io::Result<AdminServer> {
         let mut listener = TcpListener::bind(address)?;
         let token = event_loop.add(&mut listener, Interest::READABLE)?;
-        Ok(AdminServer { token, listener, clients: FxHashMap::default(), slots: Callers::default() })
+        Ok(AdminServer { token, listener, clients: FxHashMap::default(), slots: AdminConnections::default() })
     }
 
     /// Returns whether a token belongs to the listener or one of the connections.
