--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of concurrent admin connections. Their file descriptors are reserved, so that client connections
 /// can't exhaust them.
-pub const PLACES: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Time limit for receiving a connection's line, and again for sending the answer, in microseconds. Some connections
 /// never send anything.
 pub const PATIENCE: Micros = 2_000_000;
@@ -89,7 +89,7 @@
     /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a complete
     /// line, or else the oldest of all.
     pub fn come(&mut self, key: K, now: Micros) -> Option<K> {
-        let is_full = self.connections.len() >= PLACES;
+        let is_full = self.connections.len() >= MAX_CONNECTIONS;
         let evicted_at = is_full.then(|| self.connections.iter().position(|entry| !entry.1).unwrap_or(0));
         let evicted = evicted_at.map(|at| self.connections.remove(at).0);
         self.connections.push((key, false, now + PATIENCE));
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn at_the_limit_the_oldest_connection_without_a_complete_line_is_evicted_first() {
     let mut connections = AdminConnections::default();
-    for key in 0..PLACES {
+    for key in 0..MAX_CONNECTIONS {
         assert_eq!(connections.come(key, 0), None);
     }
     connections.called(0, 0);
@@ -37,7 +37,10 @@
     connections.called(2, PATIENCE - 1);
     assert_eq!(connections.overdue(PATIENCE - 1), Vec::<usize>::new());
     let removed = connections.overdue(PATIENCE);
-    assert!(removed.len() == PLACES - 3 && !removed.contains(&2) && !removed.contains(&100), "{removed:?}");
+    assert!(
+        removed.len() == MAX_CONNECTIONS - 3 && !removed.contains(&2) && !removed.contains(&100),
+        "{removed:?}"
+    );
 }
 
 #[test]
@@ -116,7 +119,7 @@
                     next += 1;
                 }
             }
-            prop_assert!(open.len() <= PLACES);
+            prop_assert!(open.len() <= MAX_CONNECTIONS);
             prop_assert_eq!(connections.connections.iter().map(|entry| entry.0).collect::<Vec<_>>(), open.clone());
         }
     }
--- a/src/net/bounds.rs
+++ b/src/net/bounds.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::admin::PLACES;
+use crate::admin::MAX_CONNECTIONS;
 use crate::config::platform::Limits;
 
 /// Descriptors kept back for what is neither a client's nor an upstream's: the standard streams, the poll, the signals,
@@ -11,7 +11,7 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Kept back besides where there is an admin endpoint: its listener, its connections, one more that is just being
 /// accepted; and what two processes of one instance talk by: a listener, two connections to it, the predecessor.
-const ADMIN_DESCRIPTORS: usize = PLACES + 6;
+const ADMIN_DESCRIPTORS: usize = MAX_CONNECTIONS + 6;
 /// One of so many descriptors may be a connection to an upstream. Clients that behave hold a third at most.
 const UPSTREAM_DIVISOR: usize = 3;
 /// One of so many client connections may be one that never sent a whole message.
