--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -15,7 +15,7 @@
 pub const MAX_CONNECTIONS: usize = 16;
 /// Time limit for receiving a connection's line, and again for sending the answer, in microseconds. Some connections
 /// never send anything.
-pub const PATIENCE: Micros = 2_000_000;
+pub const CONNECTION_TIMEOUT: Micros = 2_000_000;
 /// Maximum length of a call's line in bytes; a longer line is rejected.
 const MAX_LINE_BYTES: usize = 64;
 
@@ -92,14 +92,14 @@
         let is_full = self.connections.len() >= MAX_CONNECTIONS;
         let evicted_at = is_full.then(|| self.connections.iter().position(|entry| !entry.1).unwrap_or(0));
         let evicted = evicted_at.map(|at| self.connections.remove(at).0);
-        self.connections.push((key, false, now + PATIENCE));
+        self.connections.push((key, false, now + CONNECTION_TIMEOUT));
         evicted
     }
 
     /// Records that the line of a connection has been received, and restarts its time limit for the answer.
     pub fn called(&mut self, key: K, now: Micros) {
         if let Some(entry) = self.connections.iter_mut().find(|entry| entry.0 == key) {
-            (entry.1, entry.2) = (true, now + PATIENCE);
+            (entry.1, entry.2) = (true, now + CONNECTION_TIMEOUT);
         }
     }
 
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -34,9 +34,9 @@
     assert_eq!(connections.come(100, 1), Some(1), "the oldest without a complete line");
     connections.left(5);
     assert_eq!(connections.come(101, 1), None);
-    connections.called(2, PATIENCE - 1);
-    assert_eq!(connections.overdue(PATIENCE - 1), Vec::<usize>::new());
-    let removed = connections.overdue(PATIENCE);
+    connections.called(2, CONNECTION_TIMEOUT - 1);
+    assert_eq!(connections.overdue(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
+    let removed = connections.overdue(CONNECTION_TIMEOUT);
     assert!(
         removed.len() == MAX_CONNECTIONS - 3 && !removed.contains(&2) && !removed.contains(&100),
         "{removed:?}"
@@ -96,7 +96,7 @@
     /// For any sequence of steps: the number of connections stays within the limit, and closed or evicted connections are
     /// removed.
     #[test]
-    fn the_number_of_connections_is_bounded(steps in prop::collection::vec((0u8..4, 0usize..40, 0u64..PATIENCE), 1..200)) {
+    fn the_number_of_connections_is_bounded(steps in prop::collection::vec((0u8..4, 0usize..40, 0u64..CONNECTION_TIMEOUT), 1..200)) {
         let (mut connections, mut now, mut next) = (AdminConnections::default(), 0, 100);
         let mut open: Vec<usize> = Vec::new();
         for (step, index, wait) in steps {
--- a/src/proxy/tests/admin.rs
+++ b/src/proxy/tests/admin.rs
@@ -61,7 +61,7 @@
     let silent: Vec<Peer> = (0..40).map(|_| w.caller()).collect();
     let clients: Vec<Peer> = (0..40).map(|_| w.client()).collect();
     assert_eq!(w.call("status\n"), "done serving\n");
-    w.skip(crate::admin::PATIENCE + SWEEP_INTERVAL);
+    w.skip(crate::admin::CONNECTION_TIMEOUT + SWEEP_INTERVAL);
     for mut caller in silent {
         w.ended(&mut caller);
     }
