--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -88,7 +88,7 @@
 impl<K: Copy + PartialEq> AdminConnections<K> {
     /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a complete
     /// line, or else the oldest of all.
-    pub fn come(&mut self, key: K, now: Micros) -> Option<K> {
+    pub fn open(&mut self, key: K, now: Micros) -> Option<K> {
         let is_full = self.connections.len() >= MAX_CONNECTIONS;
         let evicted_at = is_full.then(|| self.connections.iter().position(|entry| !entry.1).unwrap_or(0));
         let evicted = evicted_at.map(|at| self.connections.remove(at).0);
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -28,12 +28,12 @@
 fn at_the_limit_the_oldest_connection_without_a_complete_line_is_evicted_first() {
     let mut connections = AdminConnections::default();
     for key in 0..MAX_CONNECTIONS {
-        assert_eq!(connections.come(key, 0), None);
+        assert_eq!(connections.open(key, 0), None);
     }
     connections.called(0, 0);
-    assert_eq!(connections.come(100, 1), Some(1), "the oldest without a complete line");
+    assert_eq!(connections.open(100, 1), Some(1), "the oldest without a complete line");
     connections.left(5);
-    assert_eq!(connections.come(101, 1), None);
+    assert_eq!(connections.open(101, 1), None);
     connections.called(2, CONNECTION_TIMEOUT - 1);
     assert_eq!(connections.overdue(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
     let removed = connections.overdue(CONNECTION_TIMEOUT);
@@ -113,7 +113,7 @@
                     open.retain(|key| !removed.contains(key));
                 }
                 _ => {
-                    let evicted = connections.come(next, now);
+                    let evicted = connections.open(next, now);
                     open.retain(|key| Some(*key) != evicted);
                     open.push(next);
                     next += 1;
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -65,7 +65,7 @@
             let Ok((mut stream, _)) = self.listener.accept() else { return false };
             let interest = Interest::READABLE | Interest::WRITABLE;
             let Ok(token) = event_loop.add(&mut stream, interest) else { continue };
-            if let Some(evicted) = self.slots.come(token, now) {
+            if let Some(evicted) = self.slots.open(token, now) {
                 self.clients.remove(&evicted);
             }
             self.clients.insert(token, AdminClient { stream, received: Vec::new(), answer: None });
