--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -97,7 +97,7 @@
     }
 
     /// Records that the line of a connection has been received, and restarts its time limit for the answer.
-    pub fn called(&mut self, key: K, now: Micros) {
+    pub fn line_received(&mut self, key: K, now: Micros) {
         if let Some(entry) = self.connections.iter_mut().find(|entry| entry.0 == key) {
             (entry.1, entry.2) = (true, now + CONNECTION_TIMEOUT);
         }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -30,11 +30,11 @@
     for key in 0..MAX_CONNECTIONS {
         assert_eq!(connections.open(key, 0), None);
     }
-    connections.called(0, 0);
+    connections.line_received(0, 0);
     assert_eq!(connections.open(100, 1), Some(1), "the oldest without a complete line");
     connections.left(5);
     assert_eq!(connections.open(101, 1), None);
-    connections.called(2, CONNECTION_TIMEOUT - 1);
+    connections.line_received(2, CONNECTION_TIMEOUT - 1);
     assert_eq!(connections.overdue(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
     let removed = connections.overdue(CONNECTION_TIMEOUT);
     assert!(
@@ -103,7 +103,7 @@
             now += wait / 8;
             let known = open.get(index).copied();
             match (step, known) {
-                (0, Some(key)) => connections.called(key, now),
+                (0, Some(key)) => connections.line_received(key, now),
                 (1, Some(key)) => {
                     connections.left(key);
                     open.retain(|other| *other != key);
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -111,7 +111,7 @@
     fn answer(&mut self, token: Token, now: Micros, text: String) {
         if let Some(client) = self.clients.get_mut(&token) {
             client.answer = Some(text.into_bytes());
-            self.slots.called(token, now);
+            self.slots.line_received(token, now);
             self.write(token);
         }
     }
