--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// Removes a closed connection.
-    pub fn left(&mut self, key: K) {
+    pub fn remove(&mut self, key: K) {
         self.connections.retain(|entry| entry.0 != key);
     }
 
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -32,7 +32,7 @@
     }
     connections.line_received(0, 0);
     assert_eq!(connections.open(100, 1), Some(1), "the oldest without a complete line");
-    connections.left(5);
+    connections.remove(5);
     assert_eq!(connections.open(101, 1), None);
     connections.line_received(2, CONNECTION_TIMEOUT - 1);
     assert_eq!(connections.overdue(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
@@ -105,7 +105,7 @@
             match (step, known) {
                 (0, Some(key)) => connections.line_received(key, now),
                 (1, Some(key)) => {
-                    connections.left(key);
+                    connections.remove(key);
                     open.retain(|other| *other != key);
                 }
                 (2, _) => {
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -75,7 +75,7 @@
 
     fn close(&mut self, token: Token) {
         self.clients.remove(&token);
-        self.slots.left(token);
+        self.slots.remove(token);
     }
 
     /// Closes connections that have timed out. It also accepts waiting connections, because no event reports
