--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -109,9 +109,9 @@
     }
 
     /// Removes and returns the connections whose time limit has passed.
-    pub fn overdue(&mut self, now: Micros) -> Vec<K> {
-        let is_overdue = |entry: &&(K, bool, Micros)| entry.2 <= now;
-        let removed: Vec<K> = self.connections.iter().filter(is_overdue).map(|entry| entry.0).collect();
+    pub fn remove_expired(&mut self, now: Micros) -> Vec<K> {
+        let is_expired = |entry: &&(K, bool, Micros)| entry.2 <= now;
+        let removed: Vec<K> = self.connections.iter().filter(is_expired).map(|entry| entry.0).collect();
         self.connections.retain(|entry| entry.2 > now);
         removed
     }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -35,8 +35,8 @@
     connections.remove(5);
     assert_eq!(connections.open(101, 1), None);
     connections.line_received(2, CONNECTION_TIMEOUT - 1);
-    assert_eq!(connections.overdue(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
-    let removed = connections.overdue(CONNECTION_TIMEOUT);
+    assert_eq!(connections.remove_expired(CONNECTION_TIMEOUT - 1), Vec::<usize>::new());
+    let removed = connections.remove_expired(CONNECTION_TIMEOUT);
     assert!(
         removed.len() == MAX_CONNECTIONS - 3 && !removed.contains(&2) && !removed.contains(&100),
         "{removed:?}"
@@ -109,7 +109,7 @@
                     open.retain(|other| *other != key);
                 }
                 (2, _) => {
-                    let removed = connections.overdue(now);
+                    let removed = connections.remove_expired(now);
                     open.retain(|key| !removed.contains(key));
                 }
                 _ => {
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -81,7 +81,7 @@
     /// Closes connections that have timed out. It also accepts waiting connections, because no event reports
     /// them after an accept that failed for lack of a descriptor.
     pub(super) fn sweep(&mut self, now: Micros, event_loop: &mut EventLoop) {
-        for token in self.slots.overdue(now) {
+        for token in self.slots.remove_expired(now) {
             self.clients.remove(&token);
         }
         self.accept(now, event_loop);
