--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -119,7 +119,7 @@
 
 /// Status of an ended request in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndStatus {
     /// The request was served.
     Success,
     /// The request was rejected.
@@ -209,9 +209,9 @@
     }
 
     /// Counts the end of an accepted request; `class` is an index from [`Figures::class`].
-    pub fn ended(&mut self, class: usize, end: End) {
+    pub fn ended(&mut self, class: usize, status: EndStatus) {
         if let Some(replies) = self.replies.get_mut(class) {
-            replies.ended[end as usize] += 1;
+            replies.ended[status as usize] += 1;
             self.ended += 1;
         }
         invariant!(self.ended <= self.accepted, "a request that ends was counted when it was accepted");
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -8,7 +8,7 @@
 use super::clients::can_transfer_in_time;
 use super::timers::{TimerEvent, MILLISECOND};
 use super::Proxy;
-use crate::admin::End;
+use crate::admin::EndStatus;
 use crate::config::settings::ClassLookup;
 use crate::invariant;
 use crate::net::protocol::{frames, ClientRequest, Response};
@@ -264,7 +264,7 @@
             // The class was removed or requires a key by now, or no transfer of this size ends in time. A
             // retry would fail in the same way, and the size would distort the load estimates.
             self.write_unadmitted(client, stream, &Response::Rejected { retry_after_ms: 0 });
-            return self.admin_metrics.ended(metrics_class, End::Overload);
+            return self.admin_metrics.ended(metrics_class, EndStatus::Overload);
         };
         let deduplication_window = needs_key(settings).then_some(settings.deduplication_window);
         let id: Id = request.request_id.as_str().into();
@@ -272,7 +272,7 @@
             // Attempts and responses are matched by the request id, which belongs to the first request. This
             // may be the same request sent twice, so the response does not say whether it was executed.
             self.write_unadmitted(client, stream, &Response::Failed);
-            return self.admin_metrics.ended(metrics_class, End::Error);
+            return self.admin_metrics.ended(metrics_class, EndStatus::Error);
         }
         self.metrics.requests += 1;
         debug!(self.log, "request"; "request" => %id, "class" => class, "timeout_ms" => request.timeout_ms,
@@ -331,7 +331,7 @@
     pub(super) fn count_rejected(&mut self, route: &str) {
         let metrics_class = self.admin_metrics.class(route);
         self.admin_metrics.took();
-        self.admin_metrics.ended(metrics_class, End::Overload);
+        self.admin_metrics.ended(metrics_class, EndStatus::Overload);
         self.metrics.requests += 1;
     }
 
@@ -342,9 +342,9 @@
         let (token, stream, is_ended) = (active.client, active.stream, active.attempt.is_none());
         debug!(self.log, "response"; "request" => %id, "status" => response.name());
         let end = match response {
-            Response::Ok(_) | Response::NotModified => End::Success,
-            Response::Rejected { .. } => End::Overload,
-            Response::Failed => End::Error,
+            Response::Ok(_) | Response::NotModified => EndStatus::Success,
+            Response::Rejected { .. } => EndStatus::Overload,
+            Response::Failed => EndStatus::Error,
         };
         self.admin_metrics.ended(active.metrics_class, end);
         if is_ended {
@@ -365,7 +365,7 @@
         let Some(active) = self.requests.unfinished_mut(&id) else { return };
         active.is_finished = true;
         self.metrics.abandoned_requests += 1;
-        self.admin_metrics.ended(active.metrics_class, End::Error);
+        self.admin_metrics.ended(active.metrics_class, EndStatus::Error);
         if active.attempt.is_none() {
             self.remove_request(&id);
         }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use fixtures::same_as_stored;
-use larchdale::admin::{Call, End, Figures, Gauges, PeerFigures};
+use larchdale::admin::{Call, EndStatus, Figures, Gauges, PeerFigures};
 use larchdale::gossip::Counts;
 use larchdale::net::protocol::{command_channel, frames, resp, ClientRequest, Malformed, Response};
 use larchdale::routing::events::Fetch;
@@ -253,8 +253,12 @@
     for _ in 0..13 {
         figures.took();
     }
-    let ends =
-        [(clips, End::Success, 1), (clips, End::Overload, 2), (clips, End::Error, 3), (odd, End::Success, 4)];
+    let ends = [
+        (clips, EndStatus::Success, 1),
+        (clips, EndStatus::Overload, 2),
+        (clips, EndStatus::Error, 3),
+        (odd, EndStatus::Success, 4),
+    ];
     for (class, end, times) in ends {
         (0..times).for_each(|_| figures.ended(class, end));
     }
