--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -156,14 +156,14 @@
     /// Number of those endpoints that the router avoids.
     pub avoided: usize,
     /// Metrics of gossip, if enabled.
-    pub peers: Option<PeerFigures>,
+    pub peers: Option<PeerMetrics>,
     /// Metrics of the enabled fleet-wide features, by name.
     pub fleet: Vec<(&'static str, u64)>,
 }
 
 /// Metrics of an instance's gossip with its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerFigures {
+pub struct PeerMetrics {
     /// Number of members that are alive, suspect, dead and left, including this instance.
     pub by_state: [usize; 4],
     /// Counters of the gossip protocol.
@@ -174,7 +174,7 @@
     pub strangers: u64,
 }
 
-impl PeerFigures {
+impl PeerMetrics {
     fn lines(&self) -> [(&'static str, u64); 10] {
         let [alive, suspect, dead, left] = self.by_state.map(|count| count as u64);
         [
@@ -240,7 +240,7 @@
         line("targets_disabled", "", gauges.avoided as u64);
         line("reload_success_total", "", self.reloads[0]);
         line("reload_failure_total", "", self.reloads[1]);
-        for (name, value) in gauges.peers.iter().flat_map(PeerFigures::lines) {
+        for (name, value) in gauges.peers.iter().flat_map(PeerMetrics::lines) {
             line(name, "", value);
         }
         for (name, value) in &gauges.fleet {
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -7,7 +7,7 @@
 use super::fleet_context::{PeerNote, PeerView};
 use super::timers::{TimerEvent, MILLISECOND};
 use super::Proxy;
-use crate::admin::PeerFigures;
+use crate::admin::PeerMetrics;
 use crate::config::platform::Peering;
 use crate::failover::site_report::SiteReport;
 use crate::gossip::message::MAX_DATAGRAM_BYTES;
@@ -105,8 +105,8 @@
     }
 
     /// Returns the values that the admin endpoint reports.
-    pub fn figures(&self) -> PeerFigures {
-        PeerFigures {
+    pub fn figures(&self) -> PeerMetrics {
+        PeerMetrics {
             by_state: self.gossip.by_state(),
             counts: self.gossip.counts(),
             dropped: self.dropped,
