--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,7 @@
 //! The admin endpoint: its calls, its limits on connections, and the metrics that the instance reports.
 //!
 //! This module does no input or output: [`Call::decode`] parses a line, [`AdminConnections`] limits the number and the duration
-//! of connections, and [`Figures`] counts requests and renders the metrics. The driver is `src/proxy/admin.rs`.
+//! of connections, and [`Metrics`] counts requests and renders the metrics. The driver is `src/proxy/admin.rs`.
 
 #[cfg(test)]
 mod tests;
@@ -137,7 +137,7 @@
 
 /// The counters that the instance reports, since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Counts of all classes since the start of the process, including dropped classes.
     replies: Vec<Replies>,
     accepted: u64,
@@ -192,7 +192,7 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// Returns the index at which a class is counted, and adds the class if it is new. A class that is dropped and added
     /// again keeps its counts.
     pub fn class(&mut self, name: &str) -> usize {
@@ -208,7 +208,7 @@
         self.accepted += 1;
     }
 
-    /// Counts the end of an accepted request; `class` is an index from [`Figures::class`].
+    /// Counts the end of an accepted request; `class` is an index from [`Metrics::class`].
     pub fn ended(&mut self, class: usize, status: EndStatus) {
         if let Some(replies) = self.replies.get_mut(class) {
             replies.ended[status as usize] += 1;
@@ -252,7 +252,7 @@
 }
 
 /// The form for the log: for each class the number of served, rejected and failed requests.
-impl std::fmt::Display for Figures {
+impl std::fmt::Display for Metrics {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.replies.iter().try_for_each(|replies| write!(f, "{} {:?} ", replies.class, replies.ended))
     }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn metrics_list_each_name_once_and_keep_the_counts_of_a_class_that_is_added_again() {
-    let mut metrics = Figures::default();
+    let mut metrics = Metrics::default();
     let (odd, plain) = (metrics.class("a\"b\\c\nd"), metrics.class("images"));
     for status in [EndStatus::Success, EndStatus::Success, EndStatus::Error] {
         metrics.took();
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -48,7 +48,7 @@
 use self::requests::ActiveRequests;
 use self::takeover::Takeover;
 use self::timers::{TimerEvent, MILLISECOND};
-use crate::admin::Figures as AdminMetrics;
+use crate::admin::Metrics as AdminMetrics;
 use crate::config::settings::{ClassTable, Document};
 use crate::lifecycle::Lifecycle;
 use crate::local_cache::LocalCache;
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -14,7 +14,7 @@
 use super::takeover_files::TakeoverFiles;
 use super::timers::TimerEvent;
 use super::Proxy;
-use crate::admin::Figures as AdminMetrics;
+use crate::admin::Metrics as AdminMetrics;
 use crate::config::platform::Config;
 use crate::config::product::{Product, Registry};
 use crate::config::settings::ClassTable;
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use fixtures::same_as_stored;
-use larchdale::admin::{Call, EndStatus, Figures, Gauges, PeerMetrics};
+use larchdale::admin::{Call, EndStatus, Gauges, Metrics, PeerMetrics};
 use larchdale::gossip::Counts;
 use larchdale::net::protocol::{command_channel, frames, resp, ClientRequest, Malformed, Response};
 use larchdale::routing::events::Fetch;
@@ -247,7 +247,7 @@
 
 #[test]
 fn figures_for_operators() {
-    let mut figures = Figures::default();
+    let mut figures = Metrics::default();
     (figures.dispatches, figures.reloads) = (9, [3, 2]);
     let (clips, odd) = (figures.class("clip-parts"), figures.class("a \"b\" \\ c"));
     for _ in 0..13 {
