--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -171,7 +171,7 @@
     /// Number of datagrams dropped from the full send queue or not sent because of an error.
     pub dropped: u64,
     /// Number of datagrams from addresses of no member.
-    pub strangers: u64,
+    pub from_unknown_addresses: u64,
 }
 
 impl PeerMetrics {
@@ -186,7 +186,7 @@
             ("peer_refutations_total", self.counts.refuted),
             ("peer_datagrams_total{way=\"out\"}", self.counts.sent),
             ("peer_datagrams_total{way=\"in\"}", self.counts.received),
-            ("peer_datagrams_dropped_total", self.dropped + self.strangers),
+            ("peer_datagrams_dropped_total", self.dropped + self.from_unknown_addresses),
             ("peer_datagrams_undecodable_total", self.counts.undecodable),
         ]
     }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -64,8 +64,12 @@
         proxy_dispatches_total 0\nproxy_concurrent 1\nproxy_targets 7\nproxy_targets_disabled 2\n\
         proxy_reload_success_total 0\nproxy_reload_failure_total 0\nend\n";
     assert_eq!(text, expected);
-    let peers =
-        Some(PeerMetrics { by_state: [3, 1, 2, 0], dropped: 4, strangers: 1, ..PeerMetrics::default() });
+    let peers = Some(PeerMetrics {
+        by_state: [3, 1, 2, 0],
+        dropped: 4,
+        from_unknown_addresses: 1,
+        ..PeerMetrics::default()
+    });
     let text = metrics.render(Gauges { targets: 7, avoided: 2, peers, fleet: vec![("site_plan", 7)] });
     let more = text.strip_prefix(expected.trim_end_matches("end\n")).unwrap();
     for line in [
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -110,7 +110,7 @@
             by_state: self.gossip.by_state(),
             counts: self.gossip.counts(),
             dropped: self.dropped,
-            strangers: self.from_unknown_addresses,
+            from_unknown_addresses: self.from_unknown_addresses,
         }
     }
 
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -263,7 +263,7 @@
         (0..times).for_each(|_| figures.ended(class, end));
     }
     let counts = Counts { sent: 21, received: 22, undecodable: 23, suspected: 24, refuted: 25, died: 26 };
-    let peers = PeerMetrics { by_state: [5, 6, 7, 8], counts, dropped: 40, strangers: 2 };
+    let peers = PeerMetrics { by_state: [5, 6, 7, 8], counts, dropped: 40, from_unknown_addresses: 2 };
     let gauges = Gauges { targets: 11, avoided: 4, peers: Some(peers), fleet: vec![("site_plan", 77)] };
     same_as_stored("sent/figures.txt", figures.render(gauges).as_bytes());
     assert_eq!(figures.to_string(), "clip-parts [1, 2, 3] a \"b\" \\ c [4, 0, 0] ");
