--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -204,7 +204,7 @@
     }
 
     /// Counts an accepted request.
-    pub fn took(&mut self) {
+    pub fn request_accepted(&mut self) {
         self.accepted += 1;
     }
 
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -48,10 +48,10 @@
     let mut metrics = Metrics::default();
     let (odd, plain) = (metrics.class("a\"b\\c\nd"), metrics.class("images"));
     for status in [EndStatus::Success, EndStatus::Success, EndStatus::Error] {
-        metrics.took();
+        metrics.request_accepted();
         metrics.ended(plain, status);
     }
-    metrics.took();
+    metrics.request_accepted();
     assert_eq!(metrics.class("images"), plain);
     assert_ne!(odd, plain);
     let text = metrics.render(Gauges { targets: 7, avoided: 2, peers: None, fleet: Vec::new() });
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -254,7 +254,7 @@
             "a request's route is validated before the request is admitted"
         );
         let metrics_class = self.admin_metrics.class(&request.route);
-        self.admin_metrics.took();
+        self.admin_metrics.request_accepted();
         let needs_key = |class: &Class| class.idempotency == Idempotency::WithKey;
         let lacks_key = |class: &Class| needs_key(class) && request.idempotency_key.is_none();
         let is_too_large = matches!(class_lookup, ClassLookup::Found { deadline, .. }
@@ -330,7 +330,7 @@
     /// Counts a request that is rejected without being examined.
     pub(super) fn count_rejected(&mut self, route: &str) {
         let metrics_class = self.admin_metrics.class(route);
-        self.admin_metrics.took();
+        self.admin_metrics.request_accepted();
         self.admin_metrics.ended(metrics_class, EndStatus::Overload);
         self.metrics.requests += 1;
     }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -251,7 +251,7 @@
     (figures.dispatches, figures.reloads) = (9, [3, 2]);
     let (clips, odd) = (figures.class("clip-parts"), figures.class("a \"b\" \\ c"));
     for _ in 0..13 {
-        figures.took();
+        figures.request_accepted();
     }
     let ends = [
         (clips, EndStatus::Success, 1),
