--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -209,7 +209,7 @@
     }
 
     /// Counts the end of an accepted request; `class` is an index from [`Metrics::class`].
-    pub fn ended(&mut self, class: usize, status: EndStatus) {
+    pub fn request_ended(&mut self, class: usize, status: EndStatus) {
         if let Some(replies) = self.replies.get_mut(class) {
             replies.ended[status as usize] += 1;
             self.ended += 1;
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -49,7 +49,7 @@
     let (odd, plain) = (metrics.class("a\"b\\c\nd"), metrics.class("images"));
     for status in [EndStatus::Success, EndStatus::Success, EndStatus::Error] {
         metrics.request_accepted();
-        metrics.ended(plain, status);
+        metrics.request_ended(plain, status);
     }
     metrics.request_accepted();
     assert_eq!(metrics.class("images"), plain);
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -264,7 +264,7 @@
             // The class was removed or requires a key by now, or no transfer of this size ends in time. A
             // retry would fail in the same way, and the size would distort the load estimates.
             self.write_unadmitted(client, stream, &Response::Rejected { retry_after_ms: 0 });
-            return self.admin_metrics.ended(metrics_class, EndStatus::Overload);
+            return self.admin_metrics.request_ended(metrics_class, EndStatus::Overload);
         };
         let deduplication_window = needs_key(settings).then_some(settings.deduplication_window);
         let id: Id = request.request_id.as_str().into();
@@ -272,7 +272,7 @@
             // Attempts and responses are matched by the request id, which belongs to the first request. This
             // may be the same request sent twice, so the response does not say whether it was executed.
             self.write_unadmitted(client, stream, &Response::Failed);
-            return self.admin_metrics.ended(metrics_class, EndStatus::Error);
+            return self.admin_metrics.request_ended(metrics_class, EndStatus::Error);
         }
         self.metrics.requests += 1;
         debug!(self.log, "request"; "request" => %id, "class" => class, "timeout_ms" => request.timeout_ms,
@@ -331,7 +331,7 @@
     pub(super) fn count_rejected(&mut self, route: &str) {
         let metrics_class = self.admin_metrics.class(route);
         self.admin_metrics.request_accepted();
-        self.admin_metrics.ended(metrics_class, EndStatus::Overload);
+        self.admin_metrics.request_ended(metrics_class, EndStatus::Overload);
         self.metrics.requests += 1;
     }
 
@@ -346,7 +346,7 @@
             Response::Rejected { .. } => EndStatus::Overload,
             Response::Failed => EndStatus::Error,
         };
-        self.admin_metrics.ended(active.metrics_class, end);
+        self.admin_metrics.request_ended(active.metrics_class, end);
         if is_ended {
             self.remove_request(id);
         }
@@ -365,7 +365,7 @@
         let Some(active) = self.requests.unfinished_mut(&id) else { return };
         active.is_finished = true;
         self.metrics.abandoned_requests += 1;
-        self.admin_metrics.ended(active.metrics_class, EndStatus::Error);
+        self.admin_metrics.request_ended(active.metrics_class, EndStatus::Error);
         if active.attempt.is_none() {
             self.remove_request(&id);
         }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -260,7 +260,7 @@
         (odd, EndStatus::Success, 4),
     ];
     for (class, end, times) in ends {
-        (0..times).for_each(|_| figures.ended(class, end));
+        (0..times).for_each(|_| figures.request_ended(class, end));
     }
     let counts = Counts { sent: 21, received: 22, undecodable: 23, suspected: 24, refuted: 25, died: 26 };
     let peers = PeerMetrics { by_state: [5, 6, 7, 8], counts, dropped: 40, from_unknown_addresses: 2 };
