--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 mod registry_client;
 mod run;
 
-use crate::config::product::{self, script, LogForm};
+use crate::config::product::{self, script, LogFormat};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use error::CommandError;
 use std::path::PathBuf;
@@ -56,11 +56,11 @@
     Json,
 }
 
-impl From<Form> for LogForm {
+impl From<Form> for LogFormat {
     fn from(form: Form) -> Self {
         match form {
-            Form::Text => LogForm::Text,
-            Form::Json => LogForm::Json,
+            Form::Text => LogFormat::Text,
+            Form::Json => LogFormat::Json,
         }
     }
 }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -2,7 +2,7 @@
 
 use super::{fail, Run};
 use crate::config::platform::{Config, ConfigError};
-use crate::config::product::{script, LogForm};
+use crate::config::product::{script, LogFormat};
 use crate::lifecycle::startup::Cause;
 use crate::net::clock::Clock;
 use crate::net::event_loop::{EventLoop, SignalFlags};
@@ -32,18 +32,18 @@
 
 /// Returns a logger to standard error. A separate thread writes the lines, so that a full pipe never blocks the event
 /// loop.
-fn logger(name: &str, form: LogForm) -> (Logger, AsyncGuard) {
+fn logger(name: &str, format: LogFormat) -> (Logger, AsyncGuard) {
     let level = match std::env::var("LARCHDALE_LOG").as_deref() {
         Ok("debug") => Level::Debug,
         Ok("warning") => Level::Warning,
         _ => Level::Info,
     };
-    let (drain, guard) = match form {
-        LogForm::Text => {
+    let (drain, guard) = match format {
+        LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(std::io::stderr());
             async_drain(slog_term::FullFormat::new(decorator).use_utc_timestamp().build())
         }
-        LogForm::Json => async_drain(slog_json::Json::new(std::io::stderr()).add_default_keys().build()),
+        LogFormat::Json => async_drain(slog_json::Json::new(std::io::stderr()).add_default_keys().build()),
     };
     (Logger::root(drain.filter_level(level).fuse(), o!("name" => name.to_owned())), guard)
 }
@@ -98,8 +98,8 @@
         Err(e) => return fail(&script::ScriptError::to_string(&e)),
     };
     let script_format = product.as_ref().and_then(|(_, product)| product.log);
-    let form = options.log_format.map(LogForm::from).or(script_format).unwrap_or_default();
-    let (log, guard) = logger(&config.name, form);
+    let format = options.log_format.map(LogFormat::from).or(script_format).unwrap_or_default();
+    let (log, guard) = logger(&config.name, format);
     let startup = Startup { config, product, clock, log: log.clone(), event_observer: None };
     let started = Proxy::start(event_loop, startup).and_then(|proxy| Ok((proxy.address()?, proxy)));
     let (address, proxy) = match started {
--- a/src/config/product/mod.rs
+++ b/src/config/product/mod.rs
@@ -25,7 +25,7 @@
     /// Key-value registry that supplies the endpoint list, if configured.
     pub registry: Option<Registry>,
     /// Log format, if the script sets one.
-    pub log: Option<LogForm>,
+    pub log: Option<LogFormat>,
     /// Settings of the failover of whole sites, if enabled.
     pub site_plan: Option<crate::failover::Settings>,
     /// Settings of sharded object placement, if enabled.
@@ -40,7 +40,7 @@
 
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     /// Human-readable text.
     #[default]
     Text,
@@ -48,12 +48,12 @@
     Json,
 }
 
-impl LogForm {
+impl LogFormat {
     /// Returns the format with this name; `None` if there is none.
     pub fn named(name: &str) -> Option<Self> {
         match name {
-            "text" => Some(LogForm::Text),
-            "json" => Some(LogForm::Json),
+            "text" => Some(LogFormat::Text),
+            "json" => Some(LogFormat::Json),
             _ => None,
         }
     }
@@ -74,7 +74,7 @@
             "purge_log" => self.purge_log.replace(fleet_calls::purge_log(arguments)?).is_some(),
             "quiet" => return fleet_calls::quiet(arguments, &mut self.calendar),
             "blackout" => return fleet_calls::blackout(arguments, &mut self.calendar),
-            _ => self.log.replace(log_form(arguments)?).is_some(),
+            _ => self.log.replace(log_format(arguments)?).is_some(),
         };
         if is_repeated {
             return Err(CallError::whole(format!("{name}() is called twice"), "remove one of the calls"));
@@ -84,9 +84,10 @@
 }
 
 /// Parses and checks the argument of `log(...)`.
-fn log_form(mut arguments: Arguments) -> Result<LogForm, CallError> {
-    let parse =
-        |text: &str| LogForm::named(text).ok_or_else(|| format!("'{text}' is neither \"text\" nor \"json\""));
+fn log_format(mut arguments: Arguments) -> Result<LogFormat, CallError> {
+    let parse = |text: &str| {
+        LogFormat::named(text).ok_or_else(|| format!("'{text}' is neither \"text\" nor \"json\""))
+    };
     let form = arguments.text("form", parse)?;
     arguments.finish()?;
     Arguments::required("log", "form", form)
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -6,7 +6,7 @@
 
 use fixtures::same_as_stored;
 use larchdale::config::platform::{Config, Limits as ProcessLimits, Peering};
-use larchdale::config::product::{self, script, LogForm, Product, Registry};
+use larchdale::config::product::{self, script, LogFormat, Product, Registry};
 use larchdale::config::settings::{ClassEntry, Document, Domain, Limits, Rules};
 use larchdale::net::protocol::command_channel::{Command, Purge, Record, State};
 use larchdale::placement::quiet::{Calendar, Window};
@@ -172,7 +172,7 @@
             restored: 10_001_000,
             snapshot: Some("/var/lib/larchdale".into()),
         }),
-        log: Some(LogForm::Json),
+        log: Some(LogFormat::Json),
         site_plan: Some(failover::Settings {
             suspect_after: 1_001_000,
             unreachable_after: 2_501_000,
@@ -240,7 +240,7 @@
 fn the_delivered_scripts() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deployed = script::read(&root.join("deploy/larchdale.star")).unwrap();
-    assert_eq!(deployed, Product { log: Some(LogForm::Text), ..Product::default() });
+    assert_eq!(deployed, Product { log: Some(LogFormat::Text), ..Product::default() });
     let example = script::read(&root.join("examples/registry.star")).unwrap();
     let endpoints = [9_471, 9_472, 9_473].map(|port| ([127, 0, 0, 1], port).into());
     let registry = Registry::new(endpoints.to_vec(), "/larchdale/example/");
