--- a/src/config/product/mod.rs
+++ b/src/config/product/mod.rs
@@ -50,7 +50,7 @@
 
 impl LogFormat {
     /// Returns the format with this name; `None` if there is none.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "text" => Some(LogFormat::Text),
             "json" => Some(LogFormat::Json),
@@ -86,7 +86,7 @@
 /// Parses and checks the argument of `log(...)`.
 fn log_format(mut arguments: Arguments) -> Result<LogFormat, CallError> {
     let parse = |text: &str| {
-        LogFormat::named(text).ok_or_else(|| format!("'{text}' is neither \"text\" nor \"json\""))
+        LogFormat::from_name(text).ok_or_else(|| format!("'{text}' is neither \"text\" nor \"json\""))
     };
     let form = arguments.text("form", parse)?;
     arguments.finish()?;
