--- a/src/config/platform/error.rs
+++ b/src/config/platform/error.rs
@@ -24,7 +24,7 @@
     Missing(String),
     /// A setting has changed that can't change without a restart.
     #[error("configuration: {0} differs from the running one; restart the instance to apply it")]
-    TakesRestart(&'static str),
+    NeedsRestart(&'static str),
 }
 
 impl ConfigError {
--- a/src/config/platform/mod.rs
+++ b/src/config/platform/mod.rs
@@ -147,7 +147,7 @@
             return Err(ConfigError::Missing(key.clone()));
         }
         match self.settings.find_change_that_needs_restart(settings) {
-            Some(key) => Err(ConfigError::TakesRestart(key)),
+            Some(key) => Err(ConfigError::NeedsRestart(key)),
             None => Ok(()),
         }
     }
