--- a/src/config/platform/mod.rs
+++ b/src/config/platform/mod.rs
@@ -45,7 +45,7 @@
     pub known: Vec<Command>,
     /// Bandwidth of one transfer from the local cache and of all transfers together, in bytes per second; 0 disables
     /// the cache.
-    pub own_link: (f64, f64),
+    pub local_cache_link: (f64, f64),
     /// Gossip with the other instances, if enabled.
     pub peering: Option<Peering>,
     /// The deployment's settings.
@@ -182,7 +182,7 @@
             channel: parse_address("channel", file.channel)?,
             cursor,
             known,
-            own_link: (file.flow_bytes_per_s, file.link_bytes_per_s),
+            local_cache_link: (file.flow_bytes_per_s, file.link_bytes_per_s),
             peering: parse_peering(file.peer_listen, file.peers, &file.settings)?,
             name: file.name,
             settings: file.settings,
--- a/src/proxy/configuration.rs
+++ b/src/proxy/configuration.rs
@@ -50,7 +50,7 @@
             product_path,
             keys: config.keys.clone(),
             limits: config.limits,
-            local_cache_link: config.own_link,
+            local_cache_link: config.local_cache_link,
             reload_retries: None,
         }
     }
@@ -148,7 +148,7 @@
 
     fn apply_configuration(&mut self, new: Config) {
         self.configuration.limits = new.limits;
-        self.configuration.local_cache_link = new.own_link;
+        self.configuration.local_cache_link = new.local_cache_link;
         self.configuration.keys = new.keys;
         if new.settings != self.settings {
             self.settings = new.settings;
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -108,7 +108,7 @@
     assert_eq!(name_and_places, ("example", address(9_090), Some(address(9_091)), address(9_379)));
     assert_eq!((config.seed, config.cursor), (0x8c1f_30d2_7a5b_e964, 5));
     assert_eq!(config.limits, ProcessLimits { sockets: 1_024, memory_mb: 192 });
-    assert_eq!(config.own_link, (310_000.0, 1_240_000.0));
+    assert_eq!(config.local_cache_link, (310_000.0, 1_240_000.0));
     let members = vec![address(9_201), address(9_202), address(9_203)];
     let peering = Peering { me: 1, listen: address(9_202), members, datagrams_per_s: 55 };
     assert_eq!(config.peering, Some(peering));
