--- a/src/config/platform/mod.rs
+++ b/src/config/platform/mod.rs
@@ -142,7 +142,7 @@
     /// # Errors
     ///
     /// Fails if a key of the running configuration is missing, or if a change needs a restart.
-    pub fn follows(&self, settings: &Document, keys: &BTreeSet<String>) -> Result<(), ConfigError> {
+    pub fn check_reload(&self, settings: &Document, keys: &BTreeSet<String>) -> Result<(), ConfigError> {
         if let Some(key) = keys.difference(&self.keys).next() {
             return Err(ConfigError::Missing(key.clone()));
         }
--- a/src/proxy/configuration.rs
+++ b/src/proxy/configuration.rs
@@ -124,7 +124,7 @@
     fn read_files(&self) -> Result<(Config, Option<Product>), ReloadFailure> {
         let not_used = "new configuration not used";
         let read = Config::read(self.configuration.path.clone()).and_then(|new| {
-            new.follows(&self.settings, &self.configuration.keys)?;
+            new.check_reload(&self.settings, &self.configuration.keys)?;
             Ok(new)
         });
         let new = read.map_err(|error| {
