--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow instances: real drivers on one loop, each with a connection of its own.
 
 use super::{io, LoopbackError, PREFIX};
-use larchdale::config::product::Registry as ListSettings;
+use larchdale::config::product::RegistrySettings as ListSettings;
 use larchdale::net::clock::Clock;
 use larchdale::net::event_loop::{EventLoop, Ready, Timers};
 use larchdale::registry::documents::driver::DocumentsDriver;
--- a/crates/fleet-simulation/src/slopes/list.rs
+++ b/crates/fleet-simulation/src/slopes/list.rs
@@ -5,7 +5,7 @@
 use super::Effort;
 use crate::capacity::target::{Sum, ENDPOINTS, INSTANCES, REGIONS};
 use crate::capacity::{Per, Quantity, Role, Row};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
 use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
--- a/crates/test-support/src/registry/chaos.rs
+++ b/crates/test-support/src/registry/chaos.rs
@@ -2,7 +2,7 @@
 //! from a seed. The checks read what the registry committed and what the lists let through, and nothing else.
 
 use super::store::{Refused, Store};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
 use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -3,7 +3,7 @@
 use super::error::CommandError;
 use super::registry_client::{Client, Target};
 use super::{exit_code, fail};
-use crate::config::product::{script, Registry};
+use crate::config::product::{script, RegistrySettings};
 use crate::purges::log::{append, Settings, HEAD, MAX_ENTRY_SCOPES};
 use crate::purges::PurgeScope;
 use crate::registry::messages::{request_op, PutRequest};
@@ -70,7 +70,7 @@
             covers.len()
         ));
     }
-    let max_message_bytes = Registry::new(Vec::new(), "").most_message;
+    let max_message_bytes = RegistrySettings::new(Vec::new(), "").most_message;
     let appended = Client::connect(&target.endpoints, max_message_bytes)
         .and_then(|mut client| append_entry(&mut client, &target.prefix, &covers));
     exit_code(appended.map(|Appended { number, revision }| {
--- a/src/cli/registry/mod.rs
+++ b/src/cli/registry/mod.rs
@@ -8,7 +8,7 @@
 
 use super::registry_client::{Client, Target};
 use super::{exit_code, fail};
-use crate::config::product::{script, Registry as Settings};
+use crate::config::product::{script, RegistrySettings as Settings};
 use clap::{Args, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -1,6 +1,6 @@
 //! The settings of a script as JSON, for `larchdale check`.
 
-use super::{Product, Registry, MICROS_PER_MS};
+use super::{Product, RegistrySettings, MICROS_PER_MS};
 use crate::{failover, growth, placement, purges};
 use serde_json::{json, Value};
 
@@ -19,7 +19,7 @@
     })
 }
 
-fn describe_registry(registry: &Registry) -> Value {
+fn describe_registry(registry: &RegistrySettings) -> Value {
     json!({
         "endpoints": registry.endpoints,
         "prefix": registry.prefix,
--- a/src/config/product/mod.rs
+++ b/src/config/product/mod.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 pub use self::describe::describe;
-pub use self::registry::Registry;
+pub use self::registry::RegistrySettings;
 
 use self::arguments::{Arguments, CallError};
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Product {
     /// Key-value registry that supplies the endpoint list, if configured.
-    pub registry: Option<Registry>,
+    pub registry: Option<RegistrySettings>,
     /// Log format, if the script sets one.
     pub log: Option<LogFormat>,
     /// Settings of the failover of whole sites, if enabled.
@@ -67,7 +67,7 @@
     /// Fails if an argument is invalid, or if a call that may occur only once is repeated.
     fn call(&mut self, name: &str, arguments: Arguments) -> Result<(), CallError> {
         let is_repeated = match name {
-            "registry" => self.registry.replace(Registry::from_arguments(arguments)?).is_some(),
+            "registry" => self.registry.replace(RegistrySettings::from_arguments(arguments)?).is_some(),
             "site_plan" => self.site_plan.replace(fleet_calls::site_plan(arguments)?).is_some(),
             "shards" => self.shards.replace(fleet_calls::shards(arguments)?).is_some(),
             "growth" => self.growth.replace(fleet_calls::growth(arguments)?).is_some(),
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -10,7 +10,7 @@
 
 /// Endpoints of the registry, its limits and its time limits. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Registry {
+pub struct RegistrySettings {
     /// Addresses of the registry's members.
     pub endpoints: Vec<SocketAddr>,
     /// Prefix of the keys of endpoint records; ends with `/`.
@@ -41,10 +41,10 @@
     pub snapshot: Option<PathBuf>,
 }
 
-impl Registry {
+impl RegistrySettings {
     /// Creates settings with these endpoints and this prefix, and defaults for everything else.
     pub fn new(endpoints: Vec<SocketAddr>, prefix: &str) -> Self {
-        Registry {
+        RegistrySettings {
             endpoints,
             prefix: prefix.to_owned(),
             page: 500,
@@ -66,7 +66,7 @@
     pub(super) fn from_arguments(mut arguments: Arguments) -> Result<Self, CallError> {
         let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
         let prefix = arguments.text("prefix", parse_prefix)?;
-        let mut registry = Registry::new(Vec::new(), "");
+        let mut registry = RegistrySettings::new(Vec::new(), "");
         let ms = |number: u64| number * MICROS_PER_MS;
         arguments.number("page", 1..=5_000, |number| registry.page = number as usize)?;
         arguments.number("most_keys", 1..=60_000, |number| registry.most_keys = number as usize)?;
--- a/src/config/product/tests.rs
+++ b/src/config/product/tests.rs
@@ -1,5 +1,5 @@
 use super::script::{run, ScriptError};
-use super::{LogFormat, Product, Registry};
+use super::{LogFormat, Product, RegistrySettings};
 use crate::placement::quiet::Window;
 use std::path::Path;
 
@@ -27,8 +27,9 @@
     let product = run(Path::new("x.star"), GOOD.to_owned()).unwrap();
     let registry = product.registry.unwrap();
     assert_eq!(registry.endpoints.len(), 3);
-    let defaults = Registry::new(registry.endpoints.clone(), "/larchdale/test/");
-    let expected = Registry { check: 200_000, snapshot: Some("/var/lib/larchdale".into()), ..defaults };
+    let defaults = RegistrySettings::new(registry.endpoints.clone(), "/larchdale/test/");
+    let expected =
+        RegistrySettings { check: 200_000, snapshot: Some("/var/lib/larchdale".into()), ..defaults };
     assert_eq!((registry, product.log), (expected, Some(LogFormat::Json)));
     assert_eq!(run(Path::new("x.star"), String::new()).unwrap(), Product::default());
 }
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -5,7 +5,7 @@
 
 use super::timers::TimerEvent;
 use super::Proxy;
-use crate::config::product::Registry;
+use crate::config::product::RegistrySettings;
 use crate::config::settings::Document;
 use crate::endpoints::{Connections, EndpointList, Entry};
 use crate::lifecycle;
@@ -228,7 +228,7 @@
     }
 
     /// Applies reloaded settings of the registry.
-    pub(super) fn reconfigure_registry(&mut self, settings: Option<&Registry>) {
+    pub(super) fn reconfigure_registry(&mut self, settings: Option<&RegistrySettings>) {
         let (Some(registry), Some(new)) = (&mut self.discovery.registry, settings) else {
             if self.discovery.has_registry() || settings.is_some() {
                 warn!(self.log, "setting change requires a restart"; "what" => "presence of a registry");
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -16,7 +16,7 @@
 use super::Proxy;
 use crate::admin::Metrics as AdminMetrics;
 use crate::config::platform::Config;
-use crate::config::product::{Product, Registry};
+use crate::config::product::{Product, RegistrySettings};
 use crate::config::settings::ClassTable;
 use crate::lifecycle::Lifecycle;
 use crate::local_cache::LocalCache;
@@ -199,7 +199,7 @@
     }
 
     /// Makes a registry the source of the endpoint list.
-    fn follow_registry(&mut self, registry: Registry, seed: u64) {
+    fn follow_registry(&mut self, registry: RegistrySettings, seed: u64) {
         let names =
             Names { kinds: self.settings.kinds.clone(), zones: self.settings.failure_domains.clone() };
         let driver = Driver::new(registry, names, seed, self.now, self.log.clone());
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -13,7 +13,7 @@
 use super::session::{Action, Notice, Session, Update};
 use super::snapshot;
 use super::status::{code, Status};
-use crate::config::product::Registry as Settings;
+use crate::config::product::RegistrySettings as Settings;
 use crate::endpoints::Counts;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::routing::events::Micros;
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -37,7 +37,7 @@
 use super::connection::position::Position;
 use super::connection::{Connection, ConnectionState, LostPhase};
 use super::status::Status;
-use crate::config::product::Registry as Settings;
+use crate::config::product::RegistrySettings as Settings;
 use crate::routing::events::Micros;
 use dial_budget::DialBudget;
 use endpoint_table::{EndpointTable, Source};
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -2,7 +2,7 @@
 //! replaced. A random run per seed is hashed and compared with the recorded digest.
 
 use crate::digest::{expect, Digest};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::registry::answers::{Decoder, KeyEntry, MessageError};
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, WatchResponse};
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -6,7 +6,7 @@
 
 use fixtures::same_as_stored;
 use larchdale::config::platform::{Config, Limits as ProcessLimits, Peering};
-use larchdale::config::product::{self, script, LogFormat, Product, Registry};
+use larchdale::config::product::{self, script, LogFormat, Product, RegistrySettings};
 use larchdale::config::settings::{ClassEntry, Document, Domain, Limits, Rules};
 use larchdale::net::protocol::command_channel::{Command, Purge, Record, State};
 use larchdale::placement::quiet::{Calendar, Window};
@@ -156,7 +156,7 @@
     let once = Window::Once(moment("2026-12-25T06:00:00Z"), moment("2026-12-26T12:00:00Z"));
     let blackout = (moment("2027-01-01T04:00:00Z"), moment("2027-01-01T12:00:00Z"));
     Product {
-        registry: Some(Registry {
+        registry: Some(RegistrySettings {
             endpoints: endpoints(2_379),
             prefix: "/larchdale/depots/".to_owned(),
             page: 501,
@@ -243,7 +243,7 @@
     assert_eq!(deployed, Product { log: Some(LogFormat::Text), ..Product::default() });
     let example = script::read(&root.join("examples/registry.star")).unwrap();
     let endpoints = [9_471, 9_472, 9_473].map(|port| ([127, 0, 0, 1], port).into());
-    let registry = Registry::new(endpoints.to_vec(), "/larchdale/example/");
+    let registry = RegistrySettings::new(endpoints.to_vec(), "/larchdale/example/");
     assert_eq!(example, Product { registry: Some(registry), ..Product::default() });
 }
 
