--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -24,7 +24,7 @@
         "endpoints": registry.endpoints,
         "prefix": registry.prefix,
         "page": registry.page,
-        "most_keys": registry.most_keys,
+        "most_keys": registry.max_keys,
         "most_value_bytes": registry.most_value,
         "most_message_bytes": registry.most_message,
         "dial_ms": registry.dial / MICROS_PER_MS,
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -18,7 +18,7 @@
     /// Number of keys requested in one page of a list.
     pub page: usize,
     /// Maximum number of keys below the prefix; if there are more, the last good list is kept.
-    pub most_keys: usize,
+    pub max_keys: usize,
     /// Maximum size of a record in bytes; a larger record counts as unreadable.
     pub most_value: usize,
     /// Maximum size of one answer in bytes.
@@ -48,7 +48,7 @@
             endpoints,
             prefix: prefix.to_owned(),
             page: 500,
-            most_keys: 20_000,
+            max_keys: 20_000,
             most_value: 4_096,
             most_message: 2 << 20,
             dial: 400 * MICROS_PER_MS,
@@ -69,7 +69,7 @@
         let mut registry = RegistrySettings::new(Vec::new(), "");
         let ms = |number: u64| number * MICROS_PER_MS;
         arguments.number("page", 1..=5_000, |number| registry.page = number as usize)?;
-        arguments.number("most_keys", 1..=60_000, |number| registry.most_keys = number as usize)?;
+        arguments.number("most_keys", 1..=60_000, |number| registry.max_keys = number as usize)?;
         arguments.number("most_value_bytes", 64..=65_536, |number| registry.most_value = number as usize)?;
         arguments.number("most_message_bytes", 65_536..=16 << 20, |number| {
             registry.most_message = number as usize
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -112,7 +112,7 @@
         let applicable = Settings {
             prefix: old.prefix.clone(),
             snapshot: old.snapshot.clone(),
-            most_keys: old.most_keys,
+            max_keys: old.max_keys,
             most_value: old.most_value,
             most_message: old.most_message,
             ..new.clone()
@@ -235,7 +235,7 @@
     /// Sends and receives, unless too many updates are pending. In that case, flow control stops the registry from
     /// sending, which bounds the queue of updates.
     fn receive(&mut self, now: Micros) {
-        if self.session.pending_updates() <= self.settings.most_keys {
+        if self.session.pending_updates() <= self.settings.max_keys {
             self.poll_link(now);
         }
     }
@@ -371,7 +371,7 @@
     log: &Logger,
 ) -> Option<Snapshots> {
     let folder = settings.snapshot.as_ref()?;
-    match snapshot::load(folder, decoder, settings.most_keys) {
+    match snapshot::load(folder, decoder, settings.max_keys) {
         Ok(list) => {
             info!(log, "registry: starting from the snapshot"; "revision" => list.revision,
                   "depots" => list.entries.len());
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -180,7 +180,7 @@
         if revision == 0 || page.entries.iter().any(|entry| entry.mod_revision > revision) {
             return Err(DisconnectReason::InvalidMessage(MessageError::KeyNewerThanList));
         }
-        let max_keys = self.settings.most_keys;
+        let max_keys = self.settings.max_keys;
         let keys = page.count.max((list.entries.len() + page.entries.len()) as u64);
         if keys > max_keys as u64 {
             actions.push(Action::Notify(Notice::TooManyKeys { keys, max_keys }));
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -355,7 +355,7 @@
 #[test]
 fn with_too_many_keys_the_list_is_kept_and_changes_of_known_keys_are_applied() {
     let mut harness = Harness::new(1);
-    harness.session.settings.most_keys = 2;
+    harness.session.settings.max_keys = 2;
     let mut unreadable = item(2, Ready, 2, 2);
     unreadable.endpoint = Err(RecordError::Malformed("noise".to_owned()));
     let watch = harness.list(page(9, vec![item(1, Ready, 1, 1), unreadable]));
--- a/src/registry/session/watching.rs
+++ b/src/registry/session/watching.rs
@@ -26,7 +26,7 @@
         let reports_progress =
             message.events.is_empty() && !message.created && !message.fragment && watch.fragments.is_empty();
         watch.fragments.extend(message.events);
-        if watch.fragments.len() > self.settings.most_keys {
+        if watch.fragments.len() > self.settings.max_keys {
             return self.relist(now, RelistReason::TooManyEvents, actions);
         }
         if message.fragment {
@@ -113,7 +113,7 @@
             // An unknown key with a change that should already have been applied: the key may have been deleted since,
             // by a deletion that is no longer remembered.
             Event::Put(_) if latest.is_none() && revision <= applied => return self.exceeds_max_keys,
-            Event::Put(_) if !is_known && self.table.len() >= self.settings.most_keys => {
+            Event::Put(_) if !is_known && self.table.len() >= self.settings.max_keys => {
                 self.notify_too_many_keys(actions);
                 return true;
             }
@@ -130,7 +130,7 @@
     /// Reports that new keys are left out, at most once per list.
     fn notify_too_many_keys(&mut self, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.exceeds_max_keys, true) {
-            let max_keys = self.settings.most_keys;
+            let max_keys = self.settings.max_keys;
             actions.push(Action::Notify(Notice::TooManyKeys { keys: max_keys as u64 + 1, max_keys }));
         }
     }
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -49,7 +49,7 @@
 
 fn settings(page: usize) -> Settings {
     let endpoints = (1..=ENDPOINTS).map(|port| ([127, 0, 0, 1], port).into()).collect();
-    Settings { page, most_keys: 24, ..Settings::new(endpoints, PREFIX) }
+    Settings { page, max_keys: 24, ..Settings::new(endpoints, PREFIX) }
 }
 
 fn decoder() -> Decoder {
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -160,7 +160,7 @@
             endpoints: endpoints(2_379),
             prefix: "/larchdale/depots/".to_owned(),
             page: 501,
-            most_keys: 20_001,
+            max_keys: 20_001,
             most_value: 4_097,
             most_message: 2_097_153,
             dial: 401_000,
