--- a/crates/fleet-simulation/src/slopes/list.rs
+++ b/crates/fleet-simulation/src/slopes/list.rs
@@ -79,7 +79,7 @@
         }
         let settings = Settings::new(vec![SocketAddr::from(([127, 0, 0, 1], 9))], PREFIX);
         let reader =
-            Decoder { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.most_value };
+            Decoder { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.max_value_bytes };
         let now = 1_000 * S;
         let (session, list) = (Session::new(settings, 7, now), EndpointList::new(65_536));
         Follower { store, reader, session, list, now, watch: None, came: (0, 0), went: 0 }
--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -25,7 +25,7 @@
         "prefix": registry.prefix,
         "page": registry.page,
         "most_keys": registry.max_keys,
-        "most_value_bytes": registry.most_value,
+        "most_value_bytes": registry.max_value_bytes,
         "most_message_bytes": registry.most_message,
         "dial_ms": registry.dial / MICROS_PER_MS,
         "answer_ms": registry.answer / MICROS_PER_MS,
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -20,7 +20,7 @@
     /// Maximum number of keys below the prefix; if there are more, the last good list is kept.
     pub max_keys: usize,
     /// Maximum size of a record in bytes; a larger record counts as unreadable.
-    pub most_value: usize,
+    pub max_value_bytes: usize,
     /// Maximum size of one answer in bytes.
     pub most_message: usize,
     /// Time limit for establishing a connection.
@@ -49,7 +49,7 @@
             prefix: prefix.to_owned(),
             page: 500,
             max_keys: 20_000,
-            most_value: 4_096,
+            max_value_bytes: 4_096,
             most_message: 2 << 20,
             dial: 400 * MICROS_PER_MS,
             answer: 600 * MICROS_PER_MS,
@@ -70,7 +70,8 @@
         let ms = |number: u64| number * MICROS_PER_MS;
         arguments.number("page", 1..=5_000, |number| registry.page = number as usize)?;
         arguments.number("most_keys", 1..=60_000, |number| registry.max_keys = number as usize)?;
-        arguments.number("most_value_bytes", 64..=65_536, |number| registry.most_value = number as usize)?;
+        arguments
+            .number("most_value_bytes", 64..=65_536, |number| registry.max_value_bytes = number as usize)?;
         arguments.number("most_message_bytes", 65_536..=16 << 20, |number| {
             registry.most_message = number as usize
         })?;
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -64,7 +64,7 @@
     /// Creates a driver that may dial at once and starts with the snapshot, if a usable one exists.
     pub fn new(settings: Settings, names: Names, seed: u64, now: Micros, log: Logger) -> Self {
         let prefix = settings.prefix.clone();
-        let decoder = Decoder { prefix, names, max_value_bytes: settings.most_value };
+        let decoder = Decoder { prefix, names, max_value_bytes: settings.max_value_bytes };
         let mut session = Session::new(settings.clone(), seed, now);
         let snapshots = resume_from_snapshot(&settings, &decoder, &mut session, now, &log);
         Driver {
@@ -113,7 +113,7 @@
             prefix: old.prefix.clone(),
             snapshot: old.snapshot.clone(),
             max_keys: old.max_keys,
-            most_value: old.most_value,
+            max_value_bytes: old.max_value_bytes,
             most_message: old.most_message,
             ..new.clone()
         };
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -161,7 +161,7 @@
             prefix: "/larchdale/depots/".to_owned(),
             page: 501,
             max_keys: 20_001,
-            most_value: 4_097,
+            max_value_bytes: 4_097,
             most_message: 2_097_153,
             dial: 401_000,
             answer: 601_000,
