--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -70,7 +70,7 @@
             covers.len()
         ));
     }
-    let max_message_bytes = RegistrySettings::new(Vec::new(), "").most_message;
+    let max_message_bytes = RegistrySettings::new(Vec::new(), "").max_message_bytes;
     let appended = Client::connect(&target.endpoints, max_message_bytes)
         .and_then(|mut client| append_entry(&mut client, &target.prefix, &covers));
     exit_code(appended.map(|Appended { number, revision }| {
--- a/src/cli/registry/mod.rs
+++ b/src/cli/registry/mod.rs
@@ -91,9 +91,10 @@
         Ok(product) => product.and_then(|product| product.registry),
         Err(error) => return fail(&error.to_string()),
     };
-    let max_message_bytes = settings
-        .as_ref()
-        .map_or_else(|| Settings::new(Vec::new(), "").most_message, |settings| settings.most_message);
+    let max_message_bytes = settings.as_ref().map_or_else(
+        || Settings::new(Vec::new(), "").max_message_bytes,
+        |settings| settings.max_message_bytes,
+    );
     let configured =
         settings.map(|settings| Target { endpoints: settings.endpoints, prefix: settings.prefix });
     let Some(target) = Target::choose(options.endpoint, options.prefix, configured) else {
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -22,7 +22,7 @@
     /// Maximum size of a record in bytes; a larger record counts as unreadable.
     pub max_value_bytes: usize,
     /// Maximum size of one answer in bytes.
-    pub most_message: usize,
+    pub max_message_bytes: usize,
     /// Time limit for establishing a connection.
     pub dial: Micros,
     /// Time limit for the answer to a call.
@@ -50,7 +50,7 @@
             page: 500,
             max_keys: 20_000,
             max_value_bytes: 4_096,
-            most_message: 2 << 20,
+            max_message_bytes: 2 << 20,
             dial: 400 * MICROS_PER_MS,
             answer: 600 * MICROS_PER_MS,
             check: 250 * MICROS_PER_MS,
@@ -73,7 +73,7 @@
         arguments
             .number("most_value_bytes", 64..=65_536, |number| registry.max_value_bytes = number as usize)?;
         arguments.number("most_message_bytes", 65_536..=16 << 20, |number| {
-            registry.most_message = number as usize
+            registry.max_message_bytes = number as usize
         })?;
         arguments.number("dial_ms", 10..=10_000, |number| registry.dial = ms(number))?;
         arguments.number("answer_ms", 10..=30_000, |number| registry.answer = ms(number))?;
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -114,7 +114,7 @@
             snapshot: old.snapshot.clone(),
             max_keys: old.max_keys,
             max_value_bytes: old.max_value_bytes,
-            most_message: old.most_message,
+            max_message_bytes: old.max_message_bytes,
             ..new.clone()
         };
         let is_complete = applicable == *new;
@@ -244,7 +244,7 @@
     fn poll_link(&mut self, now: Micros) {
         let Some(link) = &mut self.link else { return };
         let mut events = std::mem::take(&mut self.events);
-        match link.poll(self.settings.most_message, &mut events) {
+        match link.poll(self.settings.max_message_bytes, &mut events) {
             Polled::Nothing => {}
             Polled::Dialed(connection) => self.session.dialed(now, connection, &mut self.actions),
             Polled::DialFailed(connection) => self.session.lost(now, connection, &mut self.actions),
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -162,7 +162,7 @@
             page: 501,
             max_keys: 20_001,
             max_value_bytes: 4_097,
-            most_message: 2_097_153,
+            max_message_bytes: 2_097_153,
             dial: 401_000,
             answer: 601_000,
             check: 251_000,
