--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -24,7 +24,7 @@
     /// Maximum size of one answer in bytes.
     pub max_message_bytes: usize,
     /// Time limit for establishing a connection.
-    pub dial: Micros,
+    pub dial_timeout: Micros,
     /// Time limit for the answer to a call.
     pub answer: Micros,
     /// Interval between checks that the registry still answers and that no change was missed.
@@ -51,7 +51,7 @@
             max_keys: 20_000,
             max_value_bytes: 4_096,
             max_message_bytes: 2 << 20,
-            dial: 400 * MICROS_PER_MS,
+            dial_timeout: 400 * MICROS_PER_MS,
             answer: 600 * MICROS_PER_MS,
             check: 250 * MICROS_PER_MS,
             silence: 600 * MICROS_PER_MS,
@@ -75,7 +75,7 @@
         arguments.number("most_message_bytes", 65_536..=16 << 20, |number| {
             registry.max_message_bytes = number as usize
         })?;
-        arguments.number("dial_ms", 10..=10_000, |number| registry.dial = ms(number))?;
+        arguments.number("dial_ms", 10..=10_000, |number| registry.dial_timeout = ms(number))?;
         arguments.number("answer_ms", 10..=30_000, |number| registry.answer = ms(number))?;
         arguments.number("check_ms", 20..=60_000, |number| registry.check = ms(number))?;
         arguments.number("silence_ms", 20..=60_000, |number| registry.silence = ms(number))?;
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -274,7 +274,7 @@
         };
         self.counters.dials += 1;
         let connection = Connection { id: self.next_number(), endpoint };
-        self.state = State::Dialing { connection, until: now + self.settings.dial };
+        self.state = State::Dialing { connection, until: now + self.settings.dial_timeout };
         actions.push(Action::Dial { connection: connection.id, endpoint });
     }
 
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -163,7 +163,7 @@
             max_keys: 20_001,
             max_value_bytes: 4_097,
             max_message_bytes: 2_097_153,
-            dial: 401_000,
+            dial_timeout: 401_000,
             answer: 601_000,
             check: 251_000,
             silence: 602_000,
