--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -28,7 +28,7 @@
         "most_value_bytes": registry.max_value_bytes,
         "most_message_bytes": registry.max_message_bytes,
         "dial_ms": registry.dial_timeout / MICROS_PER_MS,
-        "answer_ms": registry.answer / MICROS_PER_MS,
+        "answer_ms": registry.answer_timeout / MICROS_PER_MS,
         "check_ms": registry.check / MICROS_PER_MS,
         "silence_ms": registry.silence / MICROS_PER_MS,
         "spread_ms": registry.spread / MICROS_PER_MS,
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -26,7 +26,7 @@
     /// Time limit for establishing a connection.
     pub dial_timeout: Micros,
     /// Time limit for the answer to a call.
-    pub answer: Micros,
+    pub answer_timeout: Micros,
     /// Interval between checks that the registry still answers and that no change was missed.
     pub check: Micros,
     /// Time without an answer to a check after which the connection counts as silent.
@@ -52,7 +52,7 @@
             max_value_bytes: 4_096,
             max_message_bytes: 2 << 20,
             dial_timeout: 400 * MICROS_PER_MS,
-            answer: 600 * MICROS_PER_MS,
+            answer_timeout: 600 * MICROS_PER_MS,
             check: 250 * MICROS_PER_MS,
             silence: 600 * MICROS_PER_MS,
             spread: 1_000 * MICROS_PER_MS,
@@ -76,7 +76,7 @@
             registry.max_message_bytes = number as usize
         })?;
         arguments.number("dial_ms", 10..=10_000, |number| registry.dial_timeout = ms(number))?;
-        arguments.number("answer_ms", 10..=30_000, |number| registry.answer = ms(number))?;
+        arguments.number("answer_ms", 10..=30_000, |number| registry.answer_timeout = ms(number))?;
         arguments.number("check_ms", 20..=60_000, |number| registry.check = ms(number))?;
         arguments.number("silence_ms", 20..=60_000, |number| registry.silence = ms(number))?;
         arguments.number("spread_ms", 0..=60_000, |number| registry.spread = ms(number))?;
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -112,7 +112,7 @@
         let call = self.next_number();
         let State::Listing { until, list, .. } = &mut self.state else { return };
         list.call = call;
-        *until = now + self.settings.answer;
+        *until = now + self.settings.answer_timeout;
         actions.push(Action::List {
             call,
             from: list.from.clone(),
