--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -28,7 +28,7 @@
     /// Time limit for the answer to a call.
     pub answer_timeout: Micros,
     /// Interval between checks that the registry still answers and that no change was missed.
-    pub check: Micros,
+    pub check_interval: Micros,
     /// Time without an answer to a check after which the connection counts as silent.
     pub silence: Micros,
     /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
@@ -53,7 +53,7 @@
             max_message_bytes: 2 << 20,
             dial_timeout: 400 * MICROS_PER_MS,
             answer_timeout: 600 * MICROS_PER_MS,
-            check: 250 * MICROS_PER_MS,
+            check_interval: 250 * MICROS_PER_MS,
             silence: 600 * MICROS_PER_MS,
             spread: 1_000 * MICROS_PER_MS,
             longest_pause: 3_000 * MICROS_PER_MS,
@@ -77,7 +77,7 @@
         })?;
         arguments.number("dial_ms", 10..=10_000, |number| registry.dial_timeout = ms(number))?;
         arguments.number("answer_ms", 10..=30_000, |number| registry.answer_timeout = ms(number))?;
-        arguments.number("check_ms", 20..=60_000, |number| registry.check = ms(number))?;
+        arguments.number("check_ms", 20..=60_000, |number| registry.check_interval = ms(number))?;
         arguments.number("silence_ms", 20..=60_000, |number| registry.silence = ms(number))?;
         arguments.number("spread_ms", 0..=60_000, |number| registry.spread = ms(number))?;
         arguments.number("longest_pause_ms", 50..=600_000, |number| registry.longest_pause = ms(number))?;
--- a/src/config/product/tests.rs
+++ b/src/config/product/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(registry.endpoints.len(), 3);
     let defaults = RegistrySettings::new(registry.endpoints.clone(), "/larchdale/test/");
     let expected =
-        RegistrySettings { check: 200_000, snapshot: Some("/var/lib/larchdale".into()), ..defaults };
+        RegistrySettings { check_interval: 200_000, snapshot: Some("/var/lib/larchdale".into()), ..defaults };
     assert_eq!((registry, product.log), (expected, Some(LogFormat::Json)));
     assert_eq!(run(Path::new("x.star"), String::new()).unwrap(), Product::default());
 }
--- a/src/registry/session/watching.rs
+++ b/src/registry/session/watching.rs
@@ -175,7 +175,7 @@
         let (CheckOutcome::Consistent { sent } | CheckOutcome::CountDiffers { sent }) = outcome else {
             return;
         };
-        watch.end_check(now, self.settings.check, &mut self.rng);
+        watch.end_check(now, self.settings.check_interval, &mut self.rng);
         self.confirmed = self.confirmed.max(Some(sent));
         if matches!(outcome, CheckOutcome::CountDiffers { .. }) && !self.exceeds_max_keys {
             self.relist(now, RelistReason::CountDiffers, actions);
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -165,7 +165,7 @@
             max_message_bytes: 2_097_153,
             dial_timeout: 401_000,
             answer_timeout: 601_000,
-            check: 251_000,
+            check_interval: 251_000,
             silence: 602_000,
             spread: 1_001_000,
             longest_pause: 3_001_000,
