--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -30,7 +30,7 @@
         "dial_ms": registry.dial_timeout / MICROS_PER_MS,
         "answer_ms": registry.answer_timeout / MICROS_PER_MS,
         "check_ms": registry.check_interval / MICROS_PER_MS,
-        "silence_ms": registry.silence / MICROS_PER_MS,
+        "silence_ms": registry.check_timeout / MICROS_PER_MS,
         "spread_ms": registry.spread / MICROS_PER_MS,
         "longest_pause_ms": registry.longest_pause / MICROS_PER_MS,
         "restored_ms": registry.restored / MICROS_PER_MS,
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -30,7 +30,7 @@
     /// Interval between checks that the registry still answers and that no change was missed.
     pub check_interval: Micros,
     /// Time without an answer to a check after which the connection counts as silent.
-    pub silence: Micros,
+    pub check_timeout: Micros,
     /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
     pub spread: Micros,
     /// Maximum pause between two connection attempts.
@@ -54,7 +54,7 @@
             dial_timeout: 400 * MICROS_PER_MS,
             answer_timeout: 600 * MICROS_PER_MS,
             check_interval: 250 * MICROS_PER_MS,
-            silence: 600 * MICROS_PER_MS,
+            check_timeout: 600 * MICROS_PER_MS,
             spread: 1_000 * MICROS_PER_MS,
             longest_pause: 3_000 * MICROS_PER_MS,
             restored: 10_000 * MICROS_PER_MS,
@@ -78,7 +78,7 @@
         arguments.number("dial_ms", 10..=10_000, |number| registry.dial_timeout = ms(number))?;
         arguments.number("answer_ms", 10..=30_000, |number| registry.answer_timeout = ms(number))?;
         arguments.number("check_ms", 20..=60_000, |number| registry.check_interval = ms(number))?;
-        arguments.number("silence_ms", 20..=60_000, |number| registry.silence = ms(number))?;
+        arguments.number("silence_ms", 20..=60_000, |number| registry.check_timeout = ms(number))?;
         arguments.number("spread_ms", 0..=60_000, |number| registry.spread = ms(number))?;
         arguments.number("longest_pause_ms", 50..=600_000, |number| registry.longest_pause = ms(number))?;
         arguments.number("restored_ms", 0..=600_000, |number| registry.restored = ms(number))?;
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -146,7 +146,7 @@
 
     /// Returns when [`tick`](Self::tick) has something to do, even if no other input arrives.
     pub fn next_due(&self) -> Micros {
-        self.state.due(self.settings.silence)
+        self.state.due(self.settings.check_timeout)
     }
 
     /// Removes and returns up to `max_updates` pending updates of the list of endpoints, oldest first.
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -283,7 +283,7 @@
 #[test]
 fn a_missing_count_or_a_lagging_watch_times_out_and_a_differing_count_causes_a_new_list() {
     let mut harness = Harness::new(1);
-    let silence = harness.session.settings.silence;
+    let silence = harness.session.settings.check_timeout;
     for failure in 0..3 {
         let watch = harness.list(page(9 + failure, vec![item(1, Ready, 1, 1)]));
         harness.session.watch_message(harness.now, message(watch, 9, vec![]), &mut harness.actions);
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -166,7 +166,7 @@
             dial_timeout: 401_000,
             answer_timeout: 601_000,
             check_interval: 251_000,
-            silence: 602_000,
+            check_timeout: 602_000,
             spread: 1_001_000,
             longest_pause: 3_001_000,
             restored: 10_001_000,
