--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -32,7 +32,7 @@
     /// Time without an answer to a check after which the connection counts as silent.
     pub check_timeout: Micros,
     /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
-    pub spread: Micros,
+    pub retry_spread: Micros,
     /// Maximum pause between two connection attempts.
     pub longest_pause: Micros,
     /// Time for which the registry's revision must stay behind before it counts as restored from a backup.
@@ -55,7 +55,7 @@
             answer_timeout: 600 * MICROS_PER_MS,
             check_interval: 250 * MICROS_PER_MS,
             check_timeout: 600 * MICROS_PER_MS,
-            spread: 1_000 * MICROS_PER_MS,
+            retry_spread: 1_000 * MICROS_PER_MS,
             longest_pause: 3_000 * MICROS_PER_MS,
             restored: 10_000 * MICROS_PER_MS,
             snapshot: None,
@@ -79,7 +79,7 @@
         arguments.number("answer_ms", 10..=30_000, |number| registry.answer_timeout = ms(number))?;
         arguments.number("check_ms", 20..=60_000, |number| registry.check_interval = ms(number))?;
         arguments.number("silence_ms", 20..=60_000, |number| registry.check_timeout = ms(number))?;
-        arguments.number("spread_ms", 0..=60_000, |number| registry.spread = ms(number))?;
+        arguments.number("spread_ms", 0..=60_000, |number| registry.retry_spread = ms(number))?;
         arguments.number("longest_pause_ms", 50..=600_000, |number| registry.longest_pause = ms(number))?;
         arguments.number("restored_ms", 0..=600_000, |number| registry.restored = ms(number))?;
         registry.snapshot = arguments.text("snapshot", |text| Ok(PathBuf::from(text)))?;
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -288,7 +288,7 @@
     fn give_up(&mut self, now: Micros, reason: DisconnectReason, actions: &mut Vec<Action>) {
         let Some(Connection { endpoint, .. }) = self.disconnect(actions) else { return };
         self.counters.lost += 1;
-        let pauses = RetryPauses { spread: self.settings.spread, longest: self.settings.longest_pause };
+        let pauses = RetryPauses { spread: self.settings.retry_spread, longest: self.settings.longest_pause };
         let pause = match reason {
             DisconnectReason::TooManyKeys => pauses.longest,
             DisconnectReason::TimedOut => {
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -167,7 +167,7 @@
             answer_timeout: 601_000,
             check_interval: 251_000,
             check_timeout: 602_000,
-            spread: 1_001_000,
+            retry_spread: 1_001_000,
             longest_pause: 3_001_000,
             restored: 10_001_000,
             snapshot: Some("/var/lib/larchdale".into()),
