--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -34,7 +34,7 @@
     /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
     pub retry_spread: Micros,
     /// Maximum pause between two connection attempts.
-    pub longest_pause: Micros,
+    pub max_retry_pause: Micros,
     /// Time for which the registry's revision must stay behind before it counts as restored from a backup.
     pub restored: Micros,
     /// Folder in which the endpoint list is stored on disk, if set.
@@ -56,7 +56,7 @@
             check_interval: 250 * MICROS_PER_MS,
             check_timeout: 600 * MICROS_PER_MS,
             retry_spread: 1_000 * MICROS_PER_MS,
-            longest_pause: 3_000 * MICROS_PER_MS,
+            max_retry_pause: 3_000 * MICROS_PER_MS,
             restored: 10_000 * MICROS_PER_MS,
             snapshot: None,
         }
@@ -80,7 +80,7 @@
         arguments.number("check_ms", 20..=60_000, |number| registry.check_interval = ms(number))?;
         arguments.number("silence_ms", 20..=60_000, |number| registry.check_timeout = ms(number))?;
         arguments.number("spread_ms", 0..=60_000, |number| registry.retry_spread = ms(number))?;
-        arguments.number("longest_pause_ms", 50..=600_000, |number| registry.longest_pause = ms(number))?;
+        arguments.number("longest_pause_ms", 50..=600_000, |number| registry.max_retry_pause = ms(number))?;
         arguments.number("restored_ms", 0..=600_000, |number| registry.restored = ms(number))?;
         registry.snapshot = arguments.text("snapshot", |text| Ok(PathBuf::from(text)))?;
         arguments.finish()?;
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -242,8 +242,10 @@
         self.counters.doubted += 1;
         let accepted = self.position.revision;
         let is_same_cluster = self.position.other_cluster(cluster).is_none();
-        let times =
-            RestoreTimes { confirmation: self.settings.restored, longest_pause: self.settings.longest_pause };
+        let times = RestoreTimes {
+            confirmation: self.settings.restored,
+            longest_pause: self.settings.max_retry_pause,
+        };
         if self.restore_detector.observe(now, endpoint, header, is_same_cluster, times) {
             actions.push(Action::Notify(Notice::Restored { cluster, revision, accepted }));
             self.restore_detector.clear();
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -262,8 +262,8 @@
     }
 
     fn dial(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.dial_budget.take(now, self.settings.longest_pause) {
-            let pause = self.settings.longest_pause / 2;
+        if !self.dial_budget.take(now, self.settings.max_retry_pause) {
+            let pause = self.settings.max_retry_pause / 2;
             let until = now + pause / 2 + self.rng.random_range(0..=pause);
             self.state = State::Backoff { until };
             return;
@@ -288,7 +288,8 @@
     fn give_up(&mut self, now: Micros, reason: DisconnectReason, actions: &mut Vec<Action>) {
         let Some(Connection { endpoint, .. }) = self.disconnect(actions) else { return };
         self.counters.lost += 1;
-        let pauses = RetryPauses { spread: self.settings.retry_spread, longest: self.settings.longest_pause };
+        let pauses =
+            RetryPauses { spread: self.settings.retry_spread, longest: self.settings.max_retry_pause };
         let pause = match reason {
             DisconnectReason::TooManyKeys => pauses.longest,
             DisconnectReason::TimedOut => {
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -424,7 +424,7 @@
             }
         }
     }
-    let longest = harness.session.settings.longest_pause;
+    let longest = harness.session.settings.max_retry_pause;
     let count = dials.len();
     assert!((20..60).contains(&count), "{count} dials in a minute");
     assert!(dials
