--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -33,7 +33,7 @@
         "silence_ms": registry.check_timeout / MICROS_PER_MS,
         "spread_ms": registry.retry_spread / MICROS_PER_MS,
         "longest_pause_ms": registry.max_retry_pause / MICROS_PER_MS,
-        "restored_ms": registry.restored / MICROS_PER_MS,
+        "restored_ms": registry.restore_confirmation / MICROS_PER_MS,
         "snapshot": registry.snapshot,
     })
 }
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -36,7 +36,7 @@
     /// Maximum pause between two connection attempts.
     pub max_retry_pause: Micros,
     /// Time for which the registry's revision must stay behind before it counts as restored from a backup.
-    pub restored: Micros,
+    pub restore_confirmation: Micros,
     /// Folder in which the endpoint list is stored on disk, if set.
     pub snapshot: Option<PathBuf>,
 }
@@ -57,7 +57,7 @@
             check_timeout: 600 * MICROS_PER_MS,
             retry_spread: 1_000 * MICROS_PER_MS,
             max_retry_pause: 3_000 * MICROS_PER_MS,
-            restored: 10_000 * MICROS_PER_MS,
+            restore_confirmation: 10_000 * MICROS_PER_MS,
             snapshot: None,
         }
     }
@@ -81,7 +81,7 @@
         arguments.number("silence_ms", 20..=60_000, |number| registry.check_timeout = ms(number))?;
         arguments.number("spread_ms", 0..=60_000, |number| registry.retry_spread = ms(number))?;
         arguments.number("longest_pause_ms", 50..=600_000, |number| registry.max_retry_pause = ms(number))?;
-        arguments.number("restored_ms", 0..=600_000, |number| registry.restored = ms(number))?;
+        arguments.number("restored_ms", 0..=600_000, |number| registry.restore_confirmation = ms(number))?;
         registry.snapshot = arguments.text("snapshot", |text| Ok(PathBuf::from(text)))?;
         arguments.finish()?;
         registry.endpoints = Arguments::required("registry", "endpoints", endpoints)?;
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -243,7 +243,7 @@
         let accepted = self.position.revision;
         let is_same_cluster = self.position.other_cluster(cluster).is_none();
         let times = RestoreTimes {
-            confirmation: self.settings.restored,
+            confirmation: self.settings.restore_confirmation,
             longest_pause: self.settings.max_retry_pause,
         };
         if self.restore_detector.observe(now, endpoint, header, is_same_cluster, times) {
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -338,7 +338,10 @@
         );
         assert!(attempts < 100);
     }
-    assert!(harness.now - from >= harness.session.settings.restored && attempts > 3, "{attempts} attempts");
+    assert!(
+        harness.now - from >= harness.session.settings.restore_confirmation && attempts > 3,
+        "{attempts} attempts"
+    );
     assert_eq!(harness.updates(), ["b1 Ready", "b2 removed"]);
     assert_eq!(harness.session.position.revision, 50);
     // Another cluster is accepted as soon as most members report it.
@@ -702,7 +705,7 @@
         member.commit(1, Some(true));
         member.commit(2, Some(true));
         // A single member that lags permanently can't be distinguished from a restored registry.
-        let settings = Settings { restored: Micros::MAX, ..settings(1) };
+        let settings = Settings { restore_confirmation: Micros::MAX, ..settings(1) };
         let mut session = Session::new(settings, 1, SECOND);
         session.fault = self.fault;
         let lagging_member = member.clone();
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -169,7 +169,7 @@
             check_timeout: 602_000,
             retry_spread: 1_001_000,
             max_retry_pause: 3_001_000,
-            restored: 10_001_000,
+            restore_confirmation: 10_001_000,
             snapshot: Some("/var/lib/larchdale".into()),
         }),
         log: Some(LogFormat::Json),
