--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -1,5 +1,5 @@
-//! The keys of the configuration, of the settings script and of the deployment's settings, with a known value behind
-//! each: a renamed key fails here. The files that are delivered (`deploy`, `examples`) are read too.
+//! Tests that the configuration, the settings script and the deployment's settings keep their keys: each key is read
+//! with a known value, so that a renamed key fails. The delivered files in `deploy` and `examples` are read as well.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn every_key_of_the_configuration() {
+fn every_key_of_the_configuration_is_read() {
     let config = Config::parse(CONFIGURATION, "config.json".into()).unwrap();
     assert_eq!(config.settings, settings());
     assert_eq!(config.known, known_commands());
-    let name_and_places = (config.name.as_str(), config.listen, config.management, config.channel);
+    let name_and_addresses = (config.name.as_str(), config.listen, config.management, config.channel);
     let address = |port: u16| ([127, 0, 0, 1], port).into();
-    assert_eq!(name_and_places, ("example", address(9_090), Some(address(9_091)), address(9_379)));
+    assert_eq!(name_and_addresses, ("example", address(9_090), Some(address(9_091)), address(9_379)));
     assert_eq!((config.seed, config.cursor), (0x8c1f_30d2_7a5b_e964, 5));
     assert_eq!(config.limits, ProcessLimits { sockets: 1_024, memory_mb: 192 });
     assert_eq!(config.local_cache_link, (310_000.0, 1_240_000.0));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_example_configuration() {
+fn the_example_configuration_is_read() {
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, "examples/config.json".into()).unwrap();
     assert_eq!((config.name.as_str(), config.cursor, config.seed), ("example", 1, 0x8c1f_30d2_7a5b_e964));
@@ -146,15 +146,15 @@
 
 fn product() -> Product {
     let endpoints = |port: u16| vec![([10, 0, 0, 1], port).into(), ([10, 0, 0, 2], port).into()];
-    let moment = |text: &str| text.parse().unwrap();
+    let timestamp = |text: &str| text.parse().unwrap();
     let weekly = Window::Weekly {
         days: 0b100_0101,
         from: 22 * 60 + 30,
         to: 4 * 60 + 5,
         zone: jiff::tz::TimeZone::get("America/Vancouver").unwrap(),
     };
-    let once = Window::Once(moment("2026-12-25T06:00:00Z"), moment("2026-12-26T12:00:00Z"));
-    let blackout = (moment("2027-01-01T04:00:00Z"), moment("2027-01-01T12:00:00Z"));
+    let once = Window::Once(timestamp("2026-12-25T06:00:00Z"), timestamp("2026-12-26T12:00:00Z"));
+    let blackout = (timestamp("2027-01-01T04:00:00Z"), timestamp("2027-01-01T12:00:00Z"));
     Product {
         registry: Some(RegistrySettings {
             endpoints: endpoints(2_379),
@@ -228,16 +228,16 @@
 }
 
 #[test]
-fn every_key_of_the_settings_script() {
-    let read =
+fn every_argument_of_the_settings_script_is_read_and_described() {
+    let settings =
         script::run(Path::new("all.star"), include_str!("fixtures/settings/all.star").to_owned()).unwrap();
-    assert_eq!(read, product());
-    let described = format!("{:#}\n", product::describe(&read));
+    assert_eq!(settings, product());
+    let described = format!("{:#}\n", product::describe(&settings));
     same_as_stored("settings/check-output.json", described.as_bytes());
 }
 
 #[test]
-fn the_delivered_scripts() {
+fn the_delivered_scripts_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deployed = script::read(&root.join("deploy/larchdale.star")).unwrap();
     assert_eq!(deployed, Product { log: Some(LogFormat::Text), ..Product::default() });
@@ -247,9 +247,9 @@
     assert_eq!(example, Product { registry: Some(registry), ..Product::default() });
 }
 
-/// What stands in comments of the delivered script is what operators uncomment: it has to be right too.
+/// The commented calls in the delivered script must be valid, because operators uncomment them.
 #[test]
-fn the_commented_calls_of_the_delivered_script() {
+fn the_commented_calls_of_the_delivered_script_are_valid() {
     let text = include_str!("../deploy/larchdale.star");
     let is_code = |line: &&str| line.starts_with("#     ") || line.ends_with(')') || line.ends_with('(');
     let uncomment = |line: &str| line.strip_prefix("# ").unwrap_or(line).to_owned() + "\n";
@@ -259,9 +259,9 @@
     same_as_stored("settings/deploy-uncommented.json", described.as_bytes());
 }
 
-/// The deployment's own file: its keys, and the command lines that the platform starts.
+/// Checks the keys of the deployment file and the commands that the platform runs.
 #[test]
-fn the_keys_of_the_deployment() {
+fn the_deployment_file_keeps_its_keys_and_commands() {
     let text = include_str!("../deploy/balancer.toml");
     let lines = text.lines().filter_map(|line| line.split_once(" = "));
     let keys: Vec<&str> = lines.clone().map(|line| line.0).collect();
