--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -1,5 +1,5 @@
-//! What the program is sent and sends stays the same: frames of clients, caches and the command channel, lines of the
-//! simulator, answers and figures for operators. Fixtures are in `tests/fixtures/sent`.
+//! Tests that messages keep their encoding: frames of clients, caches and the command channel, lines of the simulator,
+//! and the answers and metrics of the admin endpoint. The fixtures are in `tests/fixtures/sent`.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -15,21 +15,21 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: only a hang gets there.
-const HANG: Duration = Duration::from_secs(60);
+/// Time limit for the admin endpoint, far above the expected time, so that only a hang exceeds it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn all<M>(bytes: &[u8], decode: fn(&mut BytesMut) -> Result<Option<M>, Malformed>) -> Vec<M> {
+fn decode_all<M>(bytes: &[u8], decode: fn(&mut BytesMut) -> Result<Option<M>, Malformed>) -> Vec<M> {
     let (mut buffer, mut messages) = (BytesMut::from(bytes), Vec::new());
     while let Some(message) = decode(&mut buffer).unwrap() {
         messages.push(message);
     }
-    assert!(buffer.is_empty(), "all of it is read");
+    assert!(buffer.is_empty(), "all bytes are decoded");
     messages
 }
 
 // ---- clients ----
 
-fn ask() -> ClientRequest {
+fn client_request() -> ClientRequest {
     ClientRequest {
         request_id: "9b1f03aa5c7e2d41".into(),
         route: "segment".into(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A request with all fields as a client writes it.
+/// Returns the frame of a client request with all fields.
 fn request_frame() -> Vec<u8> {
     let fields = [
         ("route", "segment"),
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn frames_from_clients() {
-    let forget = [0, 0, 0, 5, 9, 0, 0, 1, 6];
+fn frames_from_clients_are_decoded() {
+    let cancel = [0, 0, 0, 5, 9, 0, 0, 1, 6];
     let ready = [0, 0, 0, 6, 1, 0, 0, 0, 9, 0];
-    let written = [&request_frame()[..], &forget, &ready].concat();
+    let written = [&request_frame()[..], &cancel, &ready].concat();
     let bytes = same_as_stored("sent/client-frames.hex", &written);
     let messages = [
-        frames::ClientMessage::Request { stream: 5, request: Box::new(ask()) },
+        frames::ClientMessage::Request { stream: 5, request: Box::new(client_request()) },
         frames::ClientMessage::Cancel { stream: 262 },
         frames::ClientMessage::Ready { stream: 9 },
     ];
-    assert_eq!(all(&bytes, frames::decode), messages);
+    assert_eq!(decode_all(&bytes, frames::decode), messages);
     assert!(frames::contains_cancel(&bytes, 262) && !frames::contains_cancel(&bytes, 263));
 }
 
 #[test]
-fn frames_to_clients() {
+fn frames_to_clients_keep_their_bytes() {
     let written = [
         frames::encode_response(0x0102_0304, &Response::Ok(b"xy".to_vec())),
         frames::encode_response(9, &Response::NotModified),
@@ -103,19 +103,25 @@
 // ---- caches ----
 
 #[test]
-fn commands_to_caches() {
-    let fetch = |source: &str, max_age, keep, join, held_only, renew| Fetch {
+fn commands_to_caches_keep_their_bytes() {
+    let fetch = |source: &str, max_age, cache_priority, join_fill, cached_only, revalidate| Fetch {
         source: source.into(),
         max_age,
-        cache_priority: keep,
-        join_fill: join,
-        cached_only: held_only,
-        revalidate: renew,
+        cache_priority,
+        join_fill,
+        cached_only,
+        revalidate,
     };
-    let plain = ClientRequest { idempotency_key: None, if_none_match: None, body: Vec::new(), ..ask() };
+    let plain =
+        ClientRequest { idempotency_key: None, if_none_match: None, body: Vec::new(), ..client_request() };
     let written = [
-        resp::encode_request(&ask(), "s-1", Some(&fetch("s-2", 85_999, 3, true, true, true)), 1_999_999),
-        resp::encode_request(&ask(), "s-1", Some(&fetch("s-1", 0, 0, false, true, false)), 999),
+        resp::encode_request(
+            &client_request(),
+            "s-1",
+            Some(&fetch("s-2", 85_999, 3, true, true, true)),
+            1_999_999,
+        ),
+        resp::encode_request(&client_request(), "s-1", Some(&fetch("s-1", 0, 0, false, true, false)), 999),
         resp::encode_request(&plain, "s-1", Some(&fetch("s-1", 0, 1, true, false, false)), 5_000),
         resp::encode_request(&plain, "s-1", Some(&fetch("s-1", 1, 2, false, false, true)), 5_000),
         resp::encode_request(&plain, "s-1", None, 5_000),
@@ -125,9 +131,9 @@
 }
 
 #[test]
-fn answers_of_caches() {
+fn responses_of_caches_are_decoded() {
     use resp::UpstreamStatus;
-    let words = [
+    let statuses = [
         ("ok", UpstreamStatus::Ok),
         ("current", UpstreamStatus::NotModified),
         ("nothing", UpstreamStatus::Miss),
@@ -135,25 +141,25 @@
         ("error", UpstreamStatus::Error),
         ("stale", UpstreamStatus::Expired),
     ];
-    for (text, word) in words {
+    for (text, status) in statuses {
         let bytes = format!(
             "*4\r\n$2\r\nid\r\n${}\r\n{text}\r\n$18\r\ntag=4be0,minted=17\r\n$5\r\nby\r\nt\r\n",
             text.len()
         );
-        let answer = resp::UpstreamResponse {
+        let response = resp::UpstreamResponse {
             request_id: "id".into(),
-            status: word,
+            status,
             fields: vec![("tag".into(), "4be0".into()), ("minted".into(), "17".into())],
             body: b"by\r\nt".to_vec(),
         };
-        assert_eq!(all(bytes.as_bytes(), resp::decode), [answer]);
+        assert_eq!(decode_all(bytes.as_bytes(), resp::decode), [response]);
     }
 }
 
 // ---- command channel ----
 
 #[test]
-fn frames_of_the_command_channel() {
+fn frames_of_the_command_channel_are_decoded() {
     let frame = |number: u64, kind: u8, rest: &[u8]| {
         let length = (9 + rest.len()) as u32;
         [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], rest].concat()
@@ -183,7 +189,7 @@
         weight: 4.5,
         started_ms: 1_796_281_200_000,
     };
-    let whole = vec![
+    let complete_list = vec![
         record("s-00c41f7a", State::Ready),
         record("s-00c41f7b", State::Draining),
         record("s-00c41f7c", State::Gone),
@@ -191,19 +197,19 @@
     let change = vec![record("s-00c41f7d", State::Draining)];
     let messages = [
         (41, None),
-        (42, Some(Command::Endpoints { whole: true, records: whole })),
+        (42, Some(Command::Endpoints { whole: true, records: complete_list })),
         (43, Some(Command::Endpoints { whole: false, records: change })),
         (44, Some(Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 })),
         (45, Some(Command::Purge { what: Purge::Group(17), when_ms: 902 })),
     ];
-    assert_eq!(all(&bytes, command_channel::decode), messages);
+    assert_eq!(decode_all(&bytes, command_channel::decode), messages);
     assert_eq!(command_channel::encode_hello(0x0102_0304_0506_0708), [1, 2, 3, 4, 5, 6, 7, 8]);
 }
 
 // ---- simulator ----
 
-/// Gives the adapter lines and returns what it writes.
-fn adapter(input: &[u8]) -> Vec<u8> {
+/// Runs the simulator adapter on `input` and returns its output.
+fn run_adapter(input: &[u8]) -> Vec<u8> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_larchdale-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -216,9 +222,9 @@
 }
 
 #[test]
-fn lines_of_the_simulator() {
+fn lines_to_the_simulator_keep_their_bytes() {
     let input = include_bytes!("fixtures/sent/simulator-input.jsonl");
-    let output = adapter(input);
+    let output = run_adapter(input);
     same_as_stored("sent/simulator-output.jsonl", &output);
     let text = String::from_utf8(output).unwrap();
     for verb in ["DISPATCH", "DELIVER_VIA", "RECALL", "BUSY", "FINISH_ERROR", "ARM", "STREAM_CHANGES"] {
@@ -229,7 +235,7 @@
 // ---- operators ----
 
 #[test]
-fn calls_of_operators() {
+fn admin_calls_are_decoded_and_invalid_ones_rejected() {
     let calls = [
         ("status\n", Call::Status),
         ("stats\n", Call::Stats),
@@ -246,30 +252,30 @@
 }
 
 #[test]
-fn figures_for_operators() {
-    let mut figures = Metrics::default();
-    (figures.dispatches, figures.reloads) = (9, [3, 2]);
-    let (clips, odd) = (figures.class("clip-parts"), figures.class("a \"b\" \\ c"));
+fn metrics_keep_their_text_form() {
+    let mut metrics = Metrics::default();
+    (metrics.dispatches, metrics.reloads) = (9, [3, 2]);
+    let (plain, escaped) = (metrics.class("clip-parts"), metrics.class("a \"b\" \\ c"));
     for _ in 0..13 {
-        figures.request_accepted();
+        metrics.request_accepted();
     }
-    let ends = [
-        (clips, EndStatus::Success, 1),
-        (clips, EndStatus::Overload, 2),
-        (clips, EndStatus::Error, 3),
-        (odd, EndStatus::Success, 4),
+    let statuses = [
+        (plain, EndStatus::Success, 1),
+        (plain, EndStatus::Overload, 2),
+        (plain, EndStatus::Error, 3),
+        (escaped, EndStatus::Success, 4),
     ];
-    for (class, end, times) in ends {
-        (0..times).for_each(|_| figures.request_ended(class, end));
+    for (class, end, times) in statuses {
+        (0..times).for_each(|_| metrics.request_ended(class, end));
     }
     let counts = Counts { sent: 21, received: 22, undecodable: 23, suspected: 24, refuted: 25, died: 26 };
     let peers = PeerMetrics { by_state: [5, 6, 7, 8], counts, dropped: 40, from_unknown_addresses: 2 };
     let gauges = Gauges { targets: 11, avoided: 4, peers: Some(peers), fleet: vec![("site_plan", 77)] };
-    same_as_stored("sent/figures.txt", figures.render(gauges).as_bytes());
-    assert_eq!(figures.to_string(), "clip-parts [1, 2, 3] a \"b\" \\ c [4, 0, 0] ");
+    same_as_stored("sent/figures.txt", metrics.render(gauges).as_bytes());
+    assert_eq!(metrics.to_string(), "clip-parts [1, 2, 3] a \"b\" \\ c [4, 0, 0] ");
 }
 
-/// An instance with all that adds figures, which ends with the test.
+/// An instance process, which is killed when the value is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -280,24 +286,24 @@
 }
 
 fn call(management: &str, line: &str) -> String {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut stream = loop {
         match TcpStream::connect(management) {
             Ok(stream) => break stream,
-            Err(e) => assert!(begun.elapsed() < HANG, "{e}"),
+            Err(e) => assert!(started.elapsed() < HANG_TIMEOUT, "{e}"),
         }
         std::thread::sleep(Duration::from_millis(10));
     };
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     writeln!(stream, "{line}").unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
 }
 
-/// The keys of all figures, with everything on that has figures of its own, and the fixed answers.
+/// Checks the keys of all metrics, with every feature enabled that adds metrics, and the fixed answers.
 #[test]
-fn keys_and_answers_of_the_management_endpoint() {
+fn the_admin_endpoint_keeps_its_metric_keys_and_answers() {
     let run = std::process::id();
     let address = |port: u16| format!("127.{}.{}.250:{port}", 1 + run % 250, run / 250 % 250);
     let folder = std::env::temp_dir().join(format!("larchdale-sent-{run}"));
