--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -1,6 +1,6 @@
-//! What the program stores, in files and in a registry, and what its processes tell each other stays readable and
-//! keeps its bytes. Each test writes a typed value, compares the bytes with a fixture of an earlier version
-//! (`tests/fixtures/stored`), and reads the fixture back.
+//! Tests that data stored in files or in a registry, and messages between processes, keep their encoding. Each test
+//! encodes a typed value, compares the bytes with a fixture of an earlier version (in `tests/fixtures/stored`), and
+//! decodes the fixture.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -20,14 +20,14 @@
 use larchdale::{failover, growth, placement};
 use std::path::PathBuf;
 
-/// 2026-12-03 07:00 UTC in Unix milliseconds.
+/// 2026-12-03 07:00 UTC, in milliseconds since the Unix epoch.
 const NOW_UNIX_MS: u64 = 1_796_281_200_000;
 
 fn id(name: &str) -> Option<Id> {
     Some(Id::from(name))
 }
 
-/// A folder of its own, removed at the end.
+/// A temporary folder, which is removed when the value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -44,9 +44,9 @@
     }
 }
 
-// ---- the list of endpoints ----
+// ---- endpoint list ----
 
-fn endpoint_reader() -> Decoder {
+fn endpoint_decoder() -> Decoder {
     Decoder {
         prefix: "/larchdale/depots/".to_owned(),
         names: Names {
@@ -58,11 +58,11 @@
 }
 
 fn endpoints() -> SavedList {
-    let item = |name: &str, create, modified, endpoint| KeyEntry {
+    let entry = |name: &str, create_revision, mod_revision, endpoint| KeyEntry {
         id: id(name),
         key: format!("/larchdale/depots/{name}").into_bytes().into(),
-        create_revision: create,
-        mod_revision: modified,
+        create_revision,
+        mod_revision,
         endpoint: Ok(std::sync::Arc::new(endpoint)),
     };
     let draining = EndpointRecord {
@@ -83,25 +83,25 @@
         weight: 40.0,
         started_ms: NOW_UNIX_MS + 1,
     };
-    let items = vec![item("s-00c41f7a", 41, 907, draining), item("s-00c41f7b", 42, 908, ready)];
-    SavedList { cluster: 0x1122_3344_5566_7788, revision: 911, entries: items }
+    let entries = vec![entry("s-00c41f7a", 41, 907, draining), entry("s-00c41f7b", 42, 908, ready)];
+    SavedList { cluster: 0x1122_3344_5566_7788, revision: 911, entries }
 }
 
 #[test]
-fn the_list_of_endpoints_on_disk() {
-    let (reader, saved) = (endpoint_reader(), endpoints());
-    let bytes = same_as_stored("stored/depots.list.hex", &snapshot::encode(&saved, &reader));
-    assert_eq!(snapshot::decode(&bytes, &reader, 2).unwrap(), saved);
+fn the_endpoint_list_on_disk_keeps_its_bytes_and_is_read_back() {
+    let (decoder, saved) = (endpoint_decoder(), endpoints());
+    let bytes = same_as_stored("stored/depots.list.hex", &snapshot::encode(&saved, &decoder));
+    assert_eq!(snapshot::decode(&bytes, &decoder, 2).unwrap(), saved);
     let folder = Folder::new("depots");
     std::fs::write(folder.0.join("depots.list"), &bytes).unwrap();
-    assert_eq!(snapshot::load(&folder.0, &reader, 2).unwrap(), saved);
+    assert_eq!(snapshot::load(&folder.0, &decoder, 2).unwrap(), saved);
     std::fs::remove_file(folder.0.join("depots.list")).unwrap();
     snapshot::store(&folder.0, &bytes).unwrap();
     assert_eq!(std::fs::read(folder.0.join("depots.list")).unwrap(), bytes);
 }
 
 #[test]
-fn a_record_of_an_endpoint_in_the_registry() {
+fn an_endpoint_record_keeps_its_bytes_and_fields_are_optional_or_ignored() {
     use larchdale::registry::record::StoredRecord;
     let record = StoredRecord {
         address: "10.1.0.9:9101".parse().unwrap(),
@@ -115,15 +115,15 @@
     let text = same_as_stored("stored/depot-record.json", &serde_json::to_vec(&record).unwrap());
     assert_eq!(serde_json::from_slice::<StoredRecord>(&text).unwrap(), record);
     assert_eq!(
-        endpoint_reader().names.decode(&text, 4_096).unwrap(),
+        endpoint_decoder().names.decode(&text, 4_096).unwrap(),
         *endpoints().entries[0].endpoint.clone().unwrap()
     );
-    let least = br#"{"address":"10.1.0.9:9101","kind":"parent","zone":"branch","state":"ready","later":1}"#;
-    let usual = StoredRecord { state: State::Ready, cell: 0, weight: 1.0, started_ms: 0, ..record };
+    let minimal = br#"{"address":"10.1.0.9:9101","kind":"parent","zone":"branch","state":"ready","later":1}"#;
+    let defaults = StoredRecord { state: State::Ready, cell: 0, weight: 1.0, started_ms: 0, ..record };
     assert_eq!(
-        serde_json::from_slice::<StoredRecord>(least).unwrap(),
-        usual,
-        "what older and later programs write"
+        serde_json::from_slice::<StoredRecord>(minimal).unwrap(),
+        defaults,
+        "records of older and newer versions"
     );
 }
 
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_map_of_shards_in_the_registry_and_on_disk() {
+fn the_shard_map_keeps_its_bytes_and_is_read_back() {
     let map = shard_map();
     let bytes = same_as_stored("stored/shard-map.hex", &map.encode());
     assert_eq!(ShardMap::decode(&bytes, 3).unwrap(), map);
@@ -153,19 +153,19 @@
 }
 
 #[test]
-fn the_plan_of_moves_in_the_registry() {
-    let of = |start, from, to: &str, kb, step| Move { start, from, to: Id::from(to), kb, step };
-    let planned = of(5, None, "10.1.0.9:9101", 70_000, Step::Planned);
+fn the_move_plan_keeps_its_bytes_and_is_read_back() {
+    let shard_move = |start, from, to: &str, kb, step| Move { start, from, to: Id::from(to), kb, step };
+    let planned = shard_move(5, None, "10.1.0.9:9101", 70_000, Step::Planned);
     let warming = Step::Warming { epoch: 70_002, since_ms: NOW_UNIX_MS + 2, needs_ms: 600_000 };
     let cutover = Step::Cutover { epoch: 70_003 };
     for (name, step) in [("warming", warming), ("cutover", cutover)] {
-        let begun = of(1 << 40, id("10.1.0.10:9101"), "10.1.0.11:9101", 60_000, step);
+        let started = shard_move(1 << 40, id("10.1.0.10:9101"), "10.1.0.11:9101", 60_000, step);
         let moves = Moves {
             epoch: 70_001,
             window_ends_ms: NOW_UNIX_MS,
             begun: 11,
             begun_kb: 650_000,
-            moves: vec![begun, planned.clone()],
+            moves: vec![started, planned.clone()],
             resting: vec![
                 RestingShard { start: 9, until_ms: NOW_UNIX_MS + 3 },
                 RestingShard { start: 17, until_ms: NOW_UNIX_MS + 4 },
@@ -181,9 +181,9 @@
 }
 
 #[test]
-fn the_load_by_cell_in_the_registry() {
+fn the_load_document_keeps_its_bytes_and_is_read_back() {
     let mut work = Work::default();
-    assert!(!work.close(NOW_UNIX_MS).is_empty(), "counting begins");
+    assert!(!work.close(NOW_UNIX_MS).is_empty(), "the first interval starts");
     work.add(0x7f3a_9c21_e0b4_d655, 3_000_000.0);
     work.add(0x91f0_3b7c_55d2_0a64, 1_500_000.0);
     let bytes = same_as_stored("stored/load.hex", &work.close(NOW_UNIX_MS + 2_000));
@@ -192,46 +192,51 @@
     let at = placement::position(0x7f3a_9c21_e0b4_d655) >> 54 << 54;
     assert_eq!(read(NOW_UNIX_MS + 3_000).in_range(at, at | ((1 << 54) - 1)), 1_500_000.0);
     let two_days_ms = 2 * 86_400_000;
-    assert_eq!(read(NOW_UNIX_MS + 2_000 + two_days_ms).in_range(0, u64::MAX), 0.0, "its time is read");
+    assert_eq!(
+        read(NOW_UNIX_MS + 2_000 + two_days_ms).in_range(0, u64::MAX),
+        0.0,
+        "the load is outdated by its timestamp"
+    );
     assert_eq!(Work::key("branch", "door-1"), "load/branch/door-1");
 }
 
 #[test]
-fn the_place_of_an_object() {
-    let places = [0, 1, 0x7f3a_9c21_e0b4_d655].map(|object| format!("{:016x}", placement::position(object)));
-    same_as_stored("stored/positions.txt", (places.join("\n") + "\n").as_bytes());
+fn the_position_of_an_object_stays_the_same() {
+    let positions =
+        [0, 1, 0x7f3a_9c21_e0b4_d655].map(|object| format!("{:016x}", placement::position(object)));
+    same_as_stored("stored/positions.txt", (positions.join("\n") + "\n").as_bytes());
 }
 
 // ---- growth ----
 
 #[test]
-fn a_bucket_of_growth_in_the_registry() {
+fn a_growth_bucket_keeps_its_bytes_and_is_read_back() {
     let settings = growth::Settings::default();
     let bucket_ms = settings.bucket / 1_000;
-    let mut count = growth::buckets::GrowthCounter::new(settings, "branch", "door-1", 1_700_000_000_123);
-    assert!(!count.close(NOW_UNIX_MS));
-    count.record(0x7f3a_9c21_e0b4_d655, 0, 412.5, true, false);
-    count.record(0x7f3a_9c21_e0b4_d655, 3, 48.0, false, true);
-    count.record(0x91f0_3b7c_55d2_0a64, 1, 7.25, true, true);
-    assert!(count.close(NOW_UNIX_MS + bucket_ms));
-    let (key, value) = count.next().unwrap();
+    let mut counter = growth::buckets::GrowthCounter::new(settings, "branch", "door-1", 1_700_000_000_123);
+    assert!(!counter.close(NOW_UNIX_MS));
+    counter.record(0x7f3a_9c21_e0b4_d655, 0, 412.5, true, false);
+    counter.record(0x7f3a_9c21_e0b4_d655, 3, 48.0, false, true);
+    counter.record(0x91f0_3b7c_55d2_0a64, 1, 7.25, true, true);
+    assert!(counter.close(NOW_UNIX_MS + bucket_ms));
+    let (key, value) = counter.next().unwrap();
     assert_eq!(key, "growth/branch/498967/door-1-1700000000123");
     let bytes = same_as_stored("stored/growth-bucket.hex", &value);
     let document = growth::buckets::Document::decode(&bytes).unwrap();
-    let head = (document.member.as_str(), document.incarnation, document.bucket);
-    assert_eq!(head, ("door-1", 1_700_000_000_123, 498_967));
-    assert_eq!(document.encode(), bytes, "the registers are read too");
+    let identity = (document.member.as_str(), document.incarnation, document.bucket);
+    assert_eq!(identity, ("door-1", 1_700_000_000_123, 498_967));
+    assert_eq!(document.encode(), bytes, "the registers are decoded too");
 }
 
 #[test]
-fn the_schedule_of_splits_in_the_registry() {
+fn the_split_schedule_keeps_its_bytes_and_is_read_back() {
     use growth::splits::{Scheduler, Split};
     let windows = [(NOW_UNIX_MS + 1, NOW_UNIX_MS + 2), (NOW_UNIX_MS + 11, NOW_UNIX_MS + 12)];
     let splits = [
         Split { start: 5, middle: 1 << 40, window: windows[0], full_at_ms: NOW_UNIX_MS + 3 },
         Split { start: 1 << 41, middle: 1 << 63, window: windows[1], full_at_ms: NOW_UNIX_MS + 13 },
     ];
-    // Format, checksum and the entries, as `Scheduler::encode` writes them.
+    // Format number, checksum and entries, as `Scheduler::encode` writes them.
     let content = postcard::to_stdvec(&splits.to_vec()).unwrap();
     let mut written = vec![1];
     written.extend(crc32fast::hash(&content).to_le_bytes());
@@ -245,8 +250,8 @@
 // ---- purge log ----
 
 #[test]
-fn the_entries_and_the_head_of_the_purge_log() {
-    let covers = vec![
+fn the_purge_log_keeps_its_bytes_and_is_read_back() {
+    let scopes = vec![
         PurgeScope::Object(0x7f3a_9c21_e0b4_d655),
         PurgeScope::Group(17),
         PurgeScope::Tag("news".into()),
@@ -255,9 +260,9 @@
     let (first, [(head_key, head), _]) = log::append(None, NOW_UNIX_MS, vec![PurgeScope::Group(5)]).unwrap();
     assert_eq!((first.number, head_key.as_str()), (1, "head"));
     let head = same_as_stored("stored/purge-log-head-1.hex", &head);
-    // The head is read: the number goes on, and the moment does not go back.
-    let (entry, writes) = log::append(Some(&head), NOW_UNIX_MS - 9, covers.clone()).unwrap();
-    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, scopes: covers.clone() });
+    // The next append reads the head: the number increases by one, and the time doesn't decrease.
+    let (entry, writes) = log::append(Some(&head), NOW_UNIX_MS - 9, scopes.clone()).unwrap();
+    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, scopes: scopes.clone() });
     let [(_, head), (entry_key, entry)] = writes;
     same_as_stored("stored/purge-log-head-2.hex", &head);
     let entry = same_as_stored("stored/purge-log-entry-2.hex", &entry);
@@ -265,26 +270,26 @@
     assert_eq!((log::ENTRIES, log::HEAD, log::slot_key(1_031)), ("log/", "head", "0007".to_owned()));
 
     let settings = log::Settings::new(Vec::new(), "/larchdale/purges/");
-    let mut followed = log::PurgeLog::new(&settings, 6_000_000, 10_000_000);
+    let mut purge_log = log::PurgeLog::new(&settings, 6_000_000, 10_000_000);
     let mut actions = Vec::new();
-    followed.apply_changes(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
-    assert_eq!((followed.last_number(), followed.counters().unusable), (2, 0));
+    purge_log.apply_changes(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
+    assert_eq!((purge_log.last_number(), purge_log.counters().unusable), (2, 0));
     let when_ms = NOW_UNIX_MS + settings.max_clock_skew / 1_000;
-    for cover in &covers[..2] {
-        assert!(actions.contains(&log::Action::Purge(cover.clone(), when_ms)), "{actions:?}");
+    for scope in &scopes[..2] {
+        assert!(actions.contains(&log::Action::Purge(scope.clone(), when_ms)), "{actions:?}");
     }
-    // Tag and pattern can't be resolved by an instance: each voids its own copies, beside the number that is missing.
+    // An instance can't resolve tags and patterns, so each of them clears its local cache, as does the missing entry 1.
     assert_eq!(actions.iter().filter(|a| **a == log::Action::ClearLocalCache).count(), 3);
 }
 
-// ---- one process after another ----
+// ---- takeover ----
 
 fn identity() -> Identity {
     Identity { name: "door-1".to_owned(), listen: "127.0.0.1:9090".parse().unwrap() }
 }
 
 #[test]
-fn the_state_for_the_next_process() {
+fn the_takeover_state_keeps_its_bytes_and_is_read_back() {
     let state = takeover::TakeoverState {
         identity: identity(),
         purges: vec![
@@ -298,7 +303,7 @@
 }
 
 #[test]
-fn the_lines_between_two_processes() {
+fn the_lines_of_a_takeover_keep_their_bytes_and_are_read_back() {
     let from_successor = [
         takeover::hello(identity()),
         FromSuccessor::Serving { shared_listener: true },
@@ -325,33 +330,33 @@
     assert_eq!(lines.map(read).collect::<Vec<_>>(), from_predecessor);
 }
 
-// ---- what instances tell each other ----
+// ---- messages between instances ----
 
-fn site_note() -> failover::site_report::SiteReport {
-    let sight = |zone, reached, failed, dark_tenths, held| failover::site_report::SiteObservation {
+fn site_report() -> failover::site_report::SiteReport {
+    let seen = |zone, reached, failed, unreachable_tenths_s, state| failover::site_report::SiteObservation {
         zone,
         reached,
         failed,
-        unreachable_tenths_s: dark_tenths,
-        state: held,
+        unreachable_tenths_s,
+        state,
     };
     failover::site_report::SiteReport {
         zone: 3,
         clock_ms: NOW_UNIX_MS,
         plan_number: 0x89ab_cdef,
         map_epoch: 70_001,
-        observations: vec![sight(1, 2, 5, 255, 4), sight(6, 7, 8, 9, 2)],
+        observations: vec![seen(1, 2, 5, 255, 4), seen(6, 7, 8, 9, 2)],
     }
 }
 
 #[test]
-fn a_note_of_an_instance() {
-    let bytes = same_as_stored("stored/site-note.hex", &site_note().encode());
-    assert_eq!(failover::site_report::SiteReport::decode(&bytes).unwrap(), site_note());
+fn a_site_report_keeps_its_bytes_and_is_read_back() {
+    let bytes = same_as_stored("stored/site-note.hex", &site_report().encode());
+    assert_eq!(failover::site_report::SiteReport::decode(&bytes).unwrap(), site_report());
 }
 
 #[test]
-fn datagrams_of_each_kind() {
+fn datagrams_of_each_kind_keep_their_bytes_and_are_read_back() {
     use gossip::{Datagram, Head, Kind, Note, State, Update};
     let update = |member, incarnation, state, accuser| Update { member, incarnation, state, accuser };
     let updates = vec![
@@ -367,7 +372,7 @@
         age_ms,
         bytes,
     };
-    let notes = [note(308, 70_000, 1_234, site_note().encode()), note(309, 80_000, 60_000, vec![1, 2, 3])];
+    let notes = [note(308, 70_000, 1_234, site_report().encode()), note(309, 80_000, 60_000, vec![1, 2, 3])];
     let kinds = [
         ("ping", Kind::Ping(0x1234_5678)),
         ("ping-req", Kind::PingReq { sequence: 0x1234_5679, target: 310 }),
@@ -387,16 +392,17 @@
     }
 }
 
-/// The plans themselves are made by each instance for itself; equal numbers in their notes say that they are equal.
+/// Guards the comparison of plans: each instance computes the failover plans itself, and equal plan numbers in the
+/// reports show that the plans are equal.
 #[test]
-fn the_number_of_the_plans_for_lost_sites() {
-    let class = |uncacheable, effect| Class {
+fn the_number_of_the_failover_plans_stays_the_same() {
+    let class = |uncacheable, idempotency| Class {
         fresh_for: 12_000_000,
         grace: 10_000_000,
         uncacheable,
         latency_objective: 400_000,
         latency_objective_stretch: 1.6,
-        idempotency: effect,
+        idempotency,
         deduplication_scope: DeduplicationScope::Zone,
         deduplication_window: 5_000_000,
     };
@@ -409,21 +415,26 @@
         may_bypass_caches: true,
         ..Default::default()
     };
-    let member = |id: &str, role, zone| Endpoint { id: id.into(), role, zone, ..Endpoint::default() };
-    let servers = [
-        member("parent-1", Role::Parent, 0),
-        member("origin", Role::Origin, 0),
-        member("cache-1", Role::Cache, 1),
-        member("cache-2", Role::Cache, 2),
+    let endpoint = |id: &str, role, zone| Endpoint { id: id.into(), role, zone, ..Endpoint::default() };
+    let endpoints = [
+        endpoint("parent-1", Role::Parent, 0),
+        endpoint("origin", Role::Origin, 0),
+        endpoint("cache-1", Role::Cache, 1),
+        endpoint("cache-2", Role::Cache, 2),
     ];
-    let own = failover::Settings {
+    let failover_settings = failover::Settings {
         headroom: 0.8,
         floor: 0.1,
         assumed_demand: 0.6,
         cross_zone_caches: true,
         ..Default::default()
     };
-    let inputs = failover::load_shift::estimate::estimate_inputs(&settings, &[2.0, 3.0], &servers, &own);
+    let inputs = failover::load_shift::estimate::estimate_inputs(
+        &settings,
+        &[2.0, 3.0],
+        &endpoints,
+        &failover_settings,
+    );
     let number = failover::load_shift::Plans::make(&inputs).unwrap().number();
     same_as_stored("stored/plan-number.txt", format!("{number}\n").as_bytes());
 }
