--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,12 +1,12 @@
-//! Fixtures under `tests/fixtures`: bytes that an earlier version of the program wrote. Bytes that are no text stand
-//! there as hexadecimal digits, 32 bytes a line, in files whose names end in `.hex`.
+//! Fixtures in `tests/fixtures`: bytes that an earlier version of the program wrote. Binary data is stored as
+//! hexadecimal digits, 32 bytes per line, in files whose names end in `.hex`.
 //!
-//! With the environment variable `LARCHDALE_WRITE_FIXTURES` set, the files are written from the present program, which
-//! is right only for a new fixture: a changed one means that stored data or messages are no longer readable.
+//! If the environment variable `LARCHDALE_WRITE_FIXTURES` is set, the files are written by the current program. Use it
+//! only to add a fixture: a changed fixture means that existing data or messages are no longer readable.
 
 use std::path::{Path, PathBuf};
 
-/// Bytes on one line of a `.hex` file.
+/// Number of bytes per line of a `.hex` file.
 const BYTES_PER_LINE: usize = 32;
 
 fn path(name: &str) -> PathBuf {
@@ -24,7 +24,7 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// Reads a fixture after a check that the present program writes the same bytes.
+/// Checks that `written_now` equals the fixture, and returns the bytes of the fixture.
 pub fn same_as_stored(name: &str, written_now: &[u8]) -> Vec<u8> {
     let (path, is_hex) = (path(name), name.ends_with(".hex"));
     if std::env::var_os("LARCHDALE_WRITE_FIXTURES").is_some() {
@@ -36,7 +36,7 @@
     let stored = if is_hex { from_hex(std::str::from_utf8(&content).unwrap()) } else { content };
     assert!(
         stored == written_now,
-        "{name} is written differently now:\nstored {}\nnow    {}",
+        "{name} differs from the fixture:\nfixture {}\nnow     {}",
         String::from_utf8_lossy(&stored).escape_debug(),
         String::from_utf8_lossy(written_now).escape_debug()
     );
--- a/tests/core_decisions/digest.rs
+++ b/tests/core_decisions/digest.rs
@@ -1,8 +1,9 @@
-//! The hash that plays write into.
+//! The hash over the decisions of a simulated state machine.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes values as bytes of fixed form: integers little-endian, floats by their bits, texts behind their length.
+/// Hashes values in a fixed encoding: integers as little-endian bytes, floats by their bits, texts prefixed by their
+/// length.
 pub struct Digest(Xxh3);
 
 impl Digest {
@@ -10,7 +11,7 @@
         Digest(Xxh3::new())
     }
 
-    /// The number of a kind of action or state; which number stands for what must never change.
+    /// Hashes the number of a kind of action or state. The assignment of these numbers must never change.
     pub fn tag(&mut self, tag: u8) {
         self.0.update(&[tag]);
     }
@@ -49,7 +50,7 @@
         self.bytes(text.as_bytes());
     }
 
-    /// Writes whether there is a value, and then the value.
+    /// Hashes whether a value is present, and then the value itself.
     pub fn option<T>(&mut self, value: Option<T>, write: impl FnOnce(&mut Digest, T)) {
         self.flag(value.is_some());
         if let Some(value) = value {
@@ -62,13 +63,14 @@
     }
 }
 
-/// Compares the hash of each seed's play with the one that is expected; all that differ are told at once.
-pub fn expect(core: &str, play: impl Fn(u64) -> u64, expected: &[u64]) {
-    let found: Vec<u64> = (0..expected.len() as u64).map(play).collect();
-    let spelled: Vec<String> = found.iter().map(|hash| format!("{hash:#018x}")).collect();
+/// Compares the hash of the simulation with each seed with the expected one. On a difference, the message lists the
+/// hashes of all seeds.
+pub fn expect(core: &str, simulate: impl Fn(u64) -> u64, expected: &[u64]) {
+    let found: Vec<u64> = (0..expected.len() as u64).map(simulate).collect();
+    let formatted: Vec<String> = found.iter().map(|hash| format!("{hash:#018x}")).collect();
     assert!(
         found == expected,
-        "{core}: other decisions than before; the hashes are now [{}]",
-        spelled.join(", ")
+        "{core}: decisions differ from the expected ones; the hashes are now [{}]",
+        formatted.join(", ")
     );
 }
--- a/tests/core_decisions/main.rs
+++ b/tests/core_decisions/main.rs
@@ -1,12 +1,12 @@
-//! The cores (state machines without input and output) decide what they decided when these hashes were taken.
+//! Regression tests of the decisions of the state machines that do no input or output.
 //!
-//! Each module plays one core: a seeded generator draws what happens to it, and every action and answer of the core
-//! goes into a hash that stands in the test as a constant. A change of a decision, wanted or not, changes the hash. Who
-//! wants one takes the hashes anew and says so in the commit.
+//! Each module simulates one state machine: a seeded generator draws its events, and all its actions and answers are
+//! hashed and compared with a constant in the test. Any change of a decision, intended or not, changes the hash. A
+//! commit with an intended change updates the hashes and says so in its message.
 //!
-//! A hash must not change when code is renamed: each kind of action has a fixed number here, and its fields are
-//! written as bytes one by one ([`digest::Digest`]). Debug output, derived hashes and the wording of messages stay
-//! out. What a core keeps in a hash map is sorted before it is written.
+//! Renaming code must not change a hash: each kind of action has a fixed number here, and its fields are hashed one by
+//! one as bytes ([`digest::Digest`]). Debug output, derived hashes and message texts are not hashed. Entries of a hash
+//! map are sorted before they are hashed.
 
 mod digest;
 mod documents;
