--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,8 @@
 //! The admin endpoint: its calls, its limits on connections, and the metrics that the instance reports.
 //!
-//! This module does no input or output: [`Call::decode`] parses a line, [`AdminConnections`] limits the number and the duration
-//! of connections, and [`Metrics`] counts requests and renders the metrics. The driver is `src/proxy/admin.rs`.
+//! This module does no input or output: [`Call::decode`] parses a line, [`AdminConnections`] limits the number and the
+//! duration of connections, and [`Metrics`] counts requests and renders the metrics. The driver is
+//! `src/proxy/admin.rs`.
 
 #[cfg(test)]
 mod tests;
@@ -86,8 +87,8 @@
 }
 
 impl<K: Copy + PartialEq> AdminConnections<K> {
-    /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a complete
-    /// line, or else the oldest of all.
+    /// Adds a connection. If the limit is reached, evicts and returns the oldest connection that has not sent a
+    /// complete line, or else the oldest of all.
     pub fn open(&mut self, key: K, now: Micros) -> Option<K> {
         let is_full = self.connections.len() >= MAX_CONNECTIONS;
         let evicted_at = is_full.then(|| self.connections.iter().position(|entry| !entry.1).unwrap_or(0));
@@ -193,8 +194,8 @@
 }
 
 impl Metrics {
-    /// Returns the index at which a class is counted, and adds the class if it is new. A class that is dropped and added
-    /// again keeps its counts.
+    /// Returns the index at which a class is counted, and adds the class if it is new. A class that is dropped and
+    /// added again keeps its counts.
     pub fn class(&mut self, name: &str) -> usize {
         if let Some(at) = self.replies.iter().position(|replies| replies.class == name) {
             return at;
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// For any sequence of steps: the number of connections stays within the limit, and closed or evicted connections are
-    /// removed.
+    /// For any sequence of steps: the number of connections stays within the limit, and closed or evicted connections
+    /// are removed.
     #[test]
     fn the_number_of_connections_is_bounded(steps in prop::collection::vec((0u8..4, 0usize..40, 0u64..CONNECTION_TIMEOUT), 1..200)) {
         let (mut connections, mut now, mut next) = (AdminConnections::default(), 0, 100);
--- a/src/bin/simulator_adapter.rs
+++ b/src/bin/simulator_adapter.rs
@@ -105,8 +105,8 @@
 
 /// Parses one event; `None` if its kind is not supported.
 ///
-/// The kind is parsed separately and wrapped around the event as its enum tag. With an internally tagged enum, serde would
-/// buffer the other fields, and that loses floating-point numbers as soon as any crate in the build enables the
+/// The kind is parsed separately and wrapped around the event as its enum tag. With an internally tagged enum, serde
+/// would buffer the other fields, and that loses floating-point numbers as soon as any crate in the build enables the
 /// `arbitrary_precision` feature of serde_json.
 fn parse_event(raw: &RawValue) -> Result<Option<WireEvent>, String> {
     let Verb { verb } = serde_json::from_str(raw.get()).map_err(|e| e.to_string())?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! A request router in front of tiers of caches with one origin behind them.
 //!
-//! A [`Router`] is created from [`routing::events::Settings`] and a seed. It handles one [`routing::events::Event`] at a
-//! time, together with the current time, and appends the [`routing::events::Action`]s to carry out. It has no clock, no
-//! input or output, no threads and no shared state.
+//! A [`Router`] is created from [`routing::events::Settings`] and a seed. It handles one [`routing::events::Event`] at
+//! a time, together with the current time, and appends the [`routing::events::Action`]s to carry out. It has no clock,
+//! no input or output, no threads and no shared state.
 //!
 //! Around the router, [`proxy`] is one instance on sockets, driven by the event loop in [`net`]; [`endpoints`] is the
 //! endpoint list, whatever its source; and [`config`] reads the configuration. Each other module is one subsystem: a
