--- a/src/config/product/mod.rs
+++ b/src/config/product/mod.rs
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Fails if an argument is invalid, or if a call that may occur only once is repeated.
-    fn call(&mut self, name: &str, arguments: Arguments) -> Result<(), CallError> {
+    fn apply_call(&mut self, name: &str, arguments: Arguments) -> Result<(), CallError> {
         let is_repeated = match name {
             "registry" => self.registry.replace(RegistrySettings::from_arguments(arguments)?).is_some(),
             "site_plan" => self.site_plan.replace(fleet_calls::site_plan(arguments)?).is_some(),
--- a/src/config/product/script.rs
+++ b/src/config/product/script.rs
@@ -35,7 +35,7 @@
     TooLong(PathBuf, u64),
     /// The script is invalid. Lines and columns start at 1; line 0 means the script as a whole.
     #[error("{}{what}", Position { path, line: *line, column: *column })]
-    Wrong {
+    Invalid {
         /// Path of the script.
         path: PathBuf,
         /// Line of the error.
@@ -77,12 +77,12 @@
     static CALLS: RefCell<Calls> = RefCell::default();
 }
 
-fn take(call: &'static str, kwargs: SmallMap<String, Value>) -> anyhow::Result<NoneType> {
+fn apply_call(call: &'static str, kwargs: SmallMap<String, Value>) -> anyhow::Result<NoneType> {
     let json = |(name, value): (String, Value)| Ok((name, value.to_json_value()?));
     let given = kwargs.into_iter().map(json).collect::<anyhow::Result<_>>()?;
     CALLS.with_borrow_mut(|calls| {
-        let set = calls.product.call(call, Arguments::new(call, given));
-        set.map(|()| NoneType).map_err(|error| {
+        let applied = calls.product.apply_call(call, Arguments::new(call, given));
+        applied.map(|()| NoneType).map_err(|error| {
             calls.error = Some(error.clone());
             error.into()
         })
@@ -93,42 +93,42 @@
 fn calls(builder: &mut GlobalsBuilder) {
     /// Sets the registry that supplies the endpoint list.
     fn registry<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("registry", kwargs)
+        apply_call("registry", kwargs)
     }
 
     /// Configures the failover of whole sites.
     fn site_plan<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("site_plan", kwargs)
+        apply_call("site_plan", kwargs)
     }
 
     /// Sets where the shard map and the moves are stored, and the limits on moves.
     fn shards<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("shards", kwargs)
+        apply_call("shards", kwargs)
     }
 
     /// Adds a window in which a zone's shards may move.
     fn quiet<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("quiet", kwargs)
+        apply_call("quiet", kwargs)
     }
 
     /// Adds a period in which no shard moves.
     fn blackout<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("blackout", kwargs)
+        apply_call("blackout", kwargs)
     }
 
     /// Configures how growth is measured and forecast.
     fn growth<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("growth", kwargs)
+        apply_call("growth", kwargs)
     }
 
     /// Sets where the purge log is stored and its maximum staleness.
     fn purge_log<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("purge_log", kwargs)
+        apply_call("purge_log", kwargs)
     }
 
     /// Sets the format of log lines.
     fn log<'v>(#[starlark(kwargs)] kwargs: SmallMap<String, Value<'v>>) -> anyhow::Result<NoneType> {
-        take("log", kwargs)
+        apply_call("log", kwargs)
     }
 }
 
@@ -146,7 +146,7 @@
 pub fn run(path: &Path, text: String) -> Result<Product, ScriptError> {
     let name = path.display().to_string();
     CALLS.take();
-    let ran = || -> starlark::Result<()> {
+    let evaluate = || -> starlark::Result<()> {
         let ast = AstModule::parse(&name, text, &Dialect::Standard)?;
         let globals: Globals = GlobalsBuilder::standard().with(calls).build();
         Module::with_temp_heap(|module| {
@@ -157,47 +157,50 @@
             eval.eval_module(ast, &globals).map(drop)
         })
     };
-    let ran = ran();
+    let result = evaluate();
     let calls = CALLS.take();
-    ran.map_err(|e| wrong(path, &e, calls.error))?;
-    let whole = |error: CallError| ScriptError::Wrong {
+    result.map_err(|e| script_error(path, &e, calls.error))?;
+    let whole_script_error = |error: CallError| ScriptError::Invalid {
         path: path.to_owned(),
         line: 0,
         column: 0,
         what: error.to_string(),
     };
-    super::fleet_calls::check(&calls.product).map_err(whole)?;
+    super::fleet_calls::check(&calls.product).map_err(whole_script_error)?;
     Ok(calls.product)
 }
 
 /// Converts a Starlark error. The position is that of the invalid argument if there is one, otherwise the position that
 /// Starlark reports.
-fn wrong(path: &Path, e: &starlark::Error, bad: Option<CallError>) -> ScriptError {
+fn script_error(path: &Path, e: &starlark::Error, call_error: Option<CallError>) -> ScriptError {
     let (mut line, mut column) = (0, 0);
     if let Some(span) = e.span() {
         let begin = span.resolve_span().begin;
         let source = span.source_span();
-        let named = bad.as_ref().and_then(|b| b.argument.as_deref()).and_then(|a| place(source, a));
-        let before = &source[..named.unwrap_or(0)];
+        let offset = call_error
+            .as_ref()
+            .and_then(|error| error.argument.as_deref())
+            .and_then(|name| position(source, name));
+        let before = &source[..offset.unwrap_or(0)];
         line = begin.line + 1 + before.matches('\n').count();
         column = match before.rfind('\n') {
             Some(at) => before[at + 1..].chars().count() + 1,
             None => begin.column + before.chars().count() + 1,
         };
     }
-    let what = match bad {
-        Some(bad) => bad.to_string(),
+    let what = match call_error {
+        Some(error) => error.to_string(),
         None => e.without_diagnostic().to_string().trim_end().replace('\n', " "),
     };
-    ScriptError::Wrong { path: path.to_owned(), line, column, what }
+    ScriptError::Invalid { path: path.to_owned(), line, column, what }
 }
 
 /// Returns the byte offset of a named argument in the source of a call.
-fn place(source: &str, argument: &str) -> Option<usize> {
-    let is_word = |c: Option<char>| c.is_some_and(|c| c.is_alphanumeric() || c == '_');
-    let named = |&(at, _): &(usize, &str)| {
-        let behind = source[at + argument.len()..].trim_start();
-        !is_word(source[..at].chars().last()) && behind.starts_with('=') && !behind.starts_with("==")
+fn position(source: &str, argument: &str) -> Option<usize> {
+    let is_word = |character: Option<char>| character.is_some_and(|c| c.is_alphanumeric() || c == '_');
+    let is_named = |&(at, _): &(usize, &str)| {
+        let rest = source[at + argument.len()..].trim_start();
+        !is_word(source[..at].chars().last()) && rest.starts_with('=') && !rest.starts_with("==")
     };
-    source.match_indices(argument).find(named).map(|m| m.0)
+    source.match_indices(argument).find(is_named).map(|found| found.0)
 }
--- a/src/config/product/tests.rs
+++ b/src/config/product/tests.rs
@@ -17,7 +17,7 @@
 
 fn script_error(text: &str) -> (usize, usize, String) {
     match run(Path::new("x.star"), text.to_owned()) {
-        Err(ScriptError::Wrong { line, column, what, .. }) => (line, column, what),
+        Err(ScriptError::Invalid { line, column, what, .. }) => (line, column, what),
         other => panic!("{other:?}"),
     }
 }
