--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -191,7 +191,7 @@
     }
 
     /// Whether clients are told to leave.
-    pub fn sends_clients_away(&self) -> bool {
+    pub fn sends_going_away(&self) -> bool {
         !matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!((life.phase(), life.takes_clients()), (Phase::Starting, false));
     life.handle(T, Event::EndpointsListed(true)).unwrap();
     assert!(
-        life.takes_clients() && life.is_ready() && life.accepts_connections() && !life.sends_clients_away()
+        life.takes_clients() && life.is_ready() && life.accepts_connections() && !life.sends_going_away()
     );
     life
 }
@@ -22,7 +22,7 @@
 fn standby_empties_within_four_seconds_and_active_ends_it_at_any_moment() {
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
-    assert!(!life.takes_clients() && !life.is_ready() && life.sends_clients_away());
+    assert!(!life.takes_clients() && !life.is_ready() && life.sends_going_away());
     assert!(life.accepts_connections() && life.begins_requests(T + SECOND), "what still comes is served");
     assert!(
         life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
@@ -46,7 +46,7 @@
     assert!(
         life.takes_clients()
             && life.begins_requests(now)
-            && !life.sends_clients_away()
+            && !life.sends_going_away()
             && !life.ends_partial_messages(now)
     );
     assert!(life.closes(now, idle(true, true, LEAVING_IDLE_TIMEOUT)), "who was told to leave must not stay");
@@ -62,10 +62,7 @@
         }
         let before = life.phase();
         life.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
-        assert!(
-            !life.takes_clients() && life.is_ready() && life.sends_clients_away(),
-            "the doorman is ready"
-        );
+        assert!(!life.takes_clients() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
         assert_eq!(life.accepts_connections(), !shared, "what only this listener gets is taken");
         assert!(life.begins_requests(T + 9 * SECOND) && !life.ends_partial_messages(T + 9 * SECOND));
         assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Replaced));
@@ -151,7 +148,7 @@
                 prop_assert!(life.takes_clients());
             }
             if life.takes_clients() {
-                prop_assert!(life.accepts_connections() && life.begins_requests(now) && life.is_ready() && !life.sends_clients_away());
+                prop_assert!(life.accepts_connections() && life.begins_requests(now) && life.is_ready() && !life.sends_going_away());
             }
             let held = OpenWork { unanswered: true, incoming: true, clients: true };
             match ends {
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -476,7 +476,7 @@
                 }
             }
             ClientMessage::Request { stream, request } => {
-                if self.lifecycle.sends_clients_away() {
+                if self.lifecycle.sends_going_away() {
                     self.send_going_away(token);
                 }
                 // Writing the notice may have shown that the client has disconnected.
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -33,7 +33,7 @@
         if self.lifecycle.accepts_connections() && !accepted_before {
             self.accept();
         }
-        if self.lifecycle.sends_clients_away() {
+        if self.lifecycle.sends_going_away() {
             for token in self.clients.tokens() {
                 self.send_going_away(token);
             }
