--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -229,7 +229,7 @@
     }
 
     /// When the process ends, whether or not its clients have seen the end of their connections by then.
-    pub fn closed_by(&self, now: Micros) -> Micros {
+    pub fn exit_deadline(&self, now: Micros) -> Micros {
         let flushed = self.last_answer_at().unwrap_or(now) + DRAIN_FLUSH;
         (now + CLOSE_TIMEOUT).min(flushed.max(now) + MIN_CLOSE_TIMEOUT)
     }
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -98,7 +98,7 @@
             self.finish_client(token);
         }
         self.process_events();
-        let deadline = self.lifecycle.closed_by(self.now);
+        let deadline = self.lifecycle.exit_deadline(self.now);
         self.timers.set(deadline, TimerEvent::DrainDeadline);
         while !self.clients.is_empty() && self.now < deadline {
             self.turn()?;
