--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -170,13 +170,13 @@
     }
 
     /// Whether this process takes clients: what `status` tells.
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.phase() == Phase::Serving
     }
 
     /// What the front is told. It asks the instance, whichever process it meets.
     pub fn is_ready(&self) -> bool {
-        self.takes_clients() || self.replaced.is_some()
+        self.is_serving() || self.replaced.is_some()
     }
 
     /// Whether the successor accepts from this process's queue of connections.
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -10,11 +10,9 @@
 
 fn serving() -> Lifecycle {
     let mut life = Lifecycle::default();
-    assert_eq!((life.phase(), life.takes_clients()), (Phase::Starting, false));
+    assert_eq!((life.phase(), life.is_serving()), (Phase::Starting, false));
     life.handle(T, Event::EndpointsListed(true)).unwrap();
-    assert!(
-        life.takes_clients() && life.is_ready() && life.accepts_connections() && !life.sends_going_away()
-    );
+    assert!(life.is_serving() && life.is_ready() && life.accepts_connections() && !life.sends_going_away());
     life
 }
 
@@ -22,7 +20,7 @@
 fn standby_empties_within_four_seconds_and_active_ends_it_at_any_moment() {
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
-    assert!(!life.takes_clients() && !life.is_ready() && life.sends_going_away());
+    assert!(!life.is_serving() && !life.is_ready() && life.sends_going_away());
     assert!(life.accepts_connections() && life.begins_requests(T + SECOND), "what still comes is served");
     assert!(
         life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
@@ -44,7 +42,7 @@
     life.handle(T + 3 * SECOND, Event::Active).unwrap();
     let now = T + 9 * SECOND;
     assert!(
-        life.takes_clients()
+        life.is_serving()
             && life.begins_requests(now)
             && !life.sends_going_away()
             && !life.ends_partial_messages(now)
@@ -62,7 +60,7 @@
         }
         let before = life.phase();
         life.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
-        assert!(!life.takes_clients() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
+        assert!(!life.is_serving() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
         assert_eq!(life.accepts_connections(), !shared, "what only this listener gets is taken");
         assert!(life.begins_requests(T + 9 * SECOND) && !life.ends_partial_messages(T + 9 * SECOND));
         assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Replaced));
@@ -145,15 +143,15 @@
                 ends.get_or_insert(now + MAX_DRAIN + DRAIN_MARGIN + DRAIN_FLUSH);
             }
             if event == Event::Active && taken.is_ok() {
-                prop_assert!(life.takes_clients());
+                prop_assert!(life.is_serving());
             }
-            if life.takes_clients() {
+            if life.is_serving() {
                 prop_assert!(life.accepts_connections() && life.begins_requests(now) && life.is_ready() && !life.sends_going_away());
             }
             let held = OpenWork { unanswered: true, incoming: true, clients: true };
             match ends {
                 Some(end) => {
-                    prop_assert!(!life.takes_clients());
+                    prop_assert!(!life.is_serving());
                     prop_assert_eq!(life.is_over(now, held), now >= end);
                 }
                 None => prop_assert!(!life.is_over(now, OpenWork::default())),
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -183,7 +183,7 @@
     fn execute_command(&mut self, command: Call) -> String {
         debug!(self.log, "admin command"; "command" => ?command);
         match command {
-            Call::Status if self.lifecycle.takes_clients() => "done serving\n".to_owned(),
+            Call::Status if self.lifecycle.is_serving() => "done serving\n".to_owned(),
             Call::Status => format!("error not serving: {:?}\n", self.lifecycle.phase()).to_lowercase(),
             Call::Stats => self.admin_metrics.render(self.gauges()),
             Call::Standby => self.change_phase(Event::Standby),
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -24,7 +24,7 @@
         }
         debug!(self.log, "lifecycle phase changed"; "is" => ?phase, "was" => ?phase_before,
                "open" => self.requests.len());
-        if self.lifecycle.takes_clients() {
+        if self.lifecycle.is_serving() {
             self.begin_serving();
         }
         if self.lifecycle.phase() == Phase::Replaced {
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -28,7 +28,7 @@
     assert!(
         2 * half.client_buffers <= alone.client_buffers && 2 * half.request_bodies <= alone.request_bodies
     );
-    assert!(w.proxy.lifecycle.takes_clients(), "until the other one does");
+    assert!(w.proxy.lifecycle.is_serving(), "until the other one does");
     drop(successor);
     w.until("its end", |d| (!d.has_other_process()).then_some(()));
     assert_eq!((processes(), w.proxy.bounds), (Some(1), alone));
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -82,7 +82,7 @@
         let mut next = f.knock();
         next.write_all(&f.hello()).unwrap();
         f.offered(&mut next);
-        assert!(f.w.proxy.has_other_process() && f.w.proxy.lifecycle.takes_clients());
+        assert!(f.w.proxy.has_other_process() && f.w.proxy.lifecycle.is_serving());
         // By the new name the one after it hears that it is one too many.
         let mut third = f.knock();
         third.write_all(&f.hello()).unwrap();
@@ -110,7 +110,7 @@
     drop(next);
     f.w.until("its end", |d| (!d.has_other_process()).then_some(()));
     assert!(
-        f.w.proxy.lifecycle.takes_clients()
+        f.w.proxy.lifecycle.is_serving()
             && f.w.proxy.lifecycle.accepts_connections()
             && f.w.proxy.bounds != half
     );
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -30,7 +30,7 @@
         Phase::Replaced => 4,
         Phase::Stopping => 5,
     });
-    digest.flag(process.takes_clients());
+    digest.flag(process.is_serving());
     digest.flag(process.is_ready());
     digest.flag(process.accepts_connections());
     digest.flag(process.sends_going_away());
