--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -218,7 +218,7 @@
 
     /// Whether a request that comes now is begun; else it is refused at once. After the last answers of a drain nobody
     /// would wait for how it ends.
-    pub fn begins_requests(&self, now: Micros) -> bool {
+    pub fn admits_requests(&self, now: Micros) -> bool {
         self.last_answer_at().is_none_or(|last| now < last)
             && !self.is_standby_past(now, STANDBY_BEGINS_UNTIL)
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -21,7 +21,7 @@
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
     assert!(!life.is_serving() && !life.is_ready() && life.sends_going_away());
-    assert!(life.accepts_connections() && life.begins_requests(T + SECOND), "what still comes is served");
+    assert!(life.accepts_connections() && life.admits_requests(T + SECOND), "what still comes is served");
     assert!(
         life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
             && !life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
@@ -33,7 +33,7 @@
     // A second call does not begin the drain anew.
     life.handle(T + SECOND, Event::Standby).unwrap();
     assert!(
-        !life.begins_requests(T + 2 * SECOND)
+        !life.admits_requests(T + 2 * SECOND)
             && life.closes(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
     );
     assert!(!life.ends_partial_messages(T + 3 * SECOND) && life.ends_partial_messages(T + 4 * SECOND - 1));
@@ -43,7 +43,7 @@
     let now = T + 9 * SECOND;
     assert!(
         life.is_serving()
-            && life.begins_requests(now)
+            && life.admits_requests(now)
             && !life.sends_going_away()
             && !life.ends_partial_messages(now)
     );
@@ -62,7 +62,7 @@
         life.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
         assert!(!life.is_serving() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
         assert_eq!(life.accepts_connections(), !shared, "what only this listener gets is taken");
-        assert!(life.begins_requests(T + 9 * SECOND) && !life.ends_partial_messages(T + 9 * SECOND));
+        assert!(life.admits_requests(T + 9 * SECOND) && !life.ends_partial_messages(T + 9 * SECOND));
         assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Replaced));
         assert_eq!(life.handle(T, Event::Active), Err(CallRefused::Replaced));
         life.handle(T, Event::SuccessorEnded).unwrap();
@@ -82,7 +82,7 @@
     assert!(
         !life.is_ready()
             && life.accepts_connections()
-            && life.begins_requests(T)
+            && life.admits_requests(T)
             && !life.closes(T, idle(true, true, SECOND))
     );
     assert!(!life.is_over(T + LINGER - 1, nothing), "requests may still be on their way");
@@ -101,7 +101,7 @@
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
     life.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(life.begins_requests(T + 3 * SECOND) && !life.ends_partial_messages(T + 4 * SECOND));
+    assert!(life.admits_requests(T + 3 * SECOND) && !life.ends_partial_messages(T + 4 * SECOND));
     assert!(!life.is_over(T + 3 * SECOND, nothing) && life.is_over(T + 3 * SECOND + LINGER, nothing));
     // With a successor at the same queue nothing new comes: only its own connections are waited for.
     let mut life = serving();
@@ -146,7 +146,7 @@
                 prop_assert!(life.is_serving());
             }
             if life.is_serving() {
-                prop_assert!(life.accepts_connections() && life.begins_requests(now) && life.is_ready() && !life.sends_going_away());
+                prop_assert!(life.accepts_connections() && life.admits_requests(now) && life.is_ready() && !life.sends_going_away());
             }
             let held = OpenWork { unanswered: true, incoming: true, clients: true };
             match ends {
--- a/src/proxy/requests.rs
+++ b/src/proxy/requests.rs
@@ -315,7 +315,7 @@
 
     fn has_capacity_for(&self, request: &ClientRequest) -> bool {
         let body_bytes = self.requests.body_bytes() + request.body.len();
-        self.lifecycle.begins_requests(self.now)
+        self.lifecycle.admits_requests(self.now)
             && self.requests.len() < self.settings.limits.max_open.max(1)
             && body_bytes <= self.bounds.request_bodies
     }
