--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -212,7 +212,7 @@
     }
 
     /// Whether a message that is not complete by now ends with its connection.
-    pub fn ends_partial_messages(&self, now: Micros) -> bool {
+    pub fn closes_partial_messages(&self, now: Micros) -> bool {
         self.is_standby_past(now, STANDBY_ENDS_PARTIAL)
     }
 
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -36,7 +36,9 @@
         !life.admits_requests(T + 2 * SECOND)
             && life.closes(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
     );
-    assert!(!life.ends_partial_messages(T + 3 * SECOND) && life.ends_partial_messages(T + 4 * SECOND - 1));
+    assert!(
+        !life.closes_partial_messages(T + 3 * SECOND) && life.closes_partial_messages(T + 4 * SECOND - 1)
+    );
     assert!(!life.is_over(T + 100 * SECOND, OpenWork::default()), "standby is not the end");
     life.handle(T + 3 * SECOND, Event::Active).unwrap();
     life.handle(T + 3 * SECOND, Event::Active).unwrap();
@@ -45,7 +47,7 @@
         life.is_serving()
             && life.admits_requests(now)
             && !life.sends_going_away()
-            && !life.ends_partial_messages(now)
+            && !life.closes_partial_messages(now)
     );
     assert!(life.closes(now, idle(true, true, LEAVING_IDLE_TIMEOUT)), "who was told to leave must not stay");
     assert!(!life.closes(now, idle(false, true, LEAVING_IDLE_TIMEOUT)));
@@ -62,7 +64,7 @@
         life.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
         assert!(!life.is_serving() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
         assert_eq!(life.accepts_connections(), !shared, "what only this listener gets is taken");
-        assert!(life.admits_requests(T + 9 * SECOND) && !life.ends_partial_messages(T + 9 * SECOND));
+        assert!(life.admits_requests(T + 9 * SECOND) && !life.closes_partial_messages(T + 9 * SECOND));
         assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Replaced));
         assert_eq!(life.handle(T, Event::Active), Err(CallRefused::Replaced));
         life.handle(T, Event::SuccessorEnded).unwrap();
@@ -101,7 +103,7 @@
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
     life.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(life.admits_requests(T + 3 * SECOND) && !life.ends_partial_messages(T + 4 * SECOND));
+    assert!(life.admits_requests(T + 3 * SECOND) && !life.closes_partial_messages(T + 4 * SECOND));
     assert!(!life.is_over(T + 3 * SECOND, nothing) && life.is_over(T + 3 * SECOND + LINGER, nothing));
     // With a successor at the same queue nothing new comes: only its own connections are waited for.
     let mut life = serving();
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -381,7 +381,8 @@
             let closes_by_phase = lifecycle.closes(now, connection) && !client.conn.has_partial_message();
             client.conn.is_open() && client.is_idle() && (idle_time >= IDLE_TIMEOUT || closes_by_phase)
         };
-        let closes_for_shutdown = |client: &Client| lifecycle.ends_partial_messages(now) && client.is_idle();
+        let closes_for_shutdown =
+            |client: &Client| lifecycle.closes_partial_messages(now) && client.is_idle();
         let mut stalled = self.tokens_where(is_stalled);
         let buffered: usize = self.by_token.values().map(|client| client.conn.buffered_bytes()).sum();
         if buffered > max_buffered {
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -34,7 +34,7 @@
     digest.flag(process.is_ready());
     digest.flag(process.accepts_connections());
     digest.flag(process.sends_going_away());
-    digest.flag(process.ends_partial_messages(now));
+    digest.flag(process.closes_partial_messages(now));
     digest.flag(process.admits_requests(now));
     digest.option(process.last_answer_at(), Digest::number);
     digest.number(process.exit_deadline(now));
