--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Stopping {
     since: Micros,
-    last_answer_at: Micros,
+    drain_deadline: Micros,
 }
 
 /// The state machine of one process.
@@ -150,8 +150,8 @@
             }
             Event::SuccessorEnded => self.replaced = None,
             Event::Terminate { longest_deadline } => {
-                let last_answer_at = now + longest_deadline.min(MAX_DRAIN) + DRAIN_MARGIN;
-                self.stopping.get_or_insert(Stopping { since: now, last_answer_at });
+                let drain_deadline = now + longest_deadline.min(MAX_DRAIN) + DRAIN_MARGIN;
+                self.stopping.get_or_insert(Stopping { since: now, drain_deadline });
             }
             Event::Close => self.is_closing = true,
         }
@@ -219,25 +219,25 @@
     /// Whether a request that comes now is begun; else it is refused at once. After the last answers of a drain nobody
     /// would wait for how it ends.
     pub fn admits_requests(&self, now: Micros) -> bool {
-        self.last_answer_at().is_none_or(|last| now < last)
+        self.drain_deadline().is_none_or(|last| now < last)
             && !self.is_standby_past(now, STANDBY_BEGINS_UNTIL)
     }
 
     /// When whatever is still open after SIGTERM gets its last answer.
-    pub fn last_answer_at(&self) -> Option<Micros> {
-        self.stopping.map(|stopping| stopping.last_answer_at)
+    pub fn drain_deadline(&self) -> Option<Micros> {
+        self.stopping.map(|stopping| stopping.drain_deadline)
     }
 
     /// When the process ends, whether or not its clients have seen the end of their connections by then.
     pub fn exit_deadline(&self, now: Micros) -> Micros {
-        let flushed = self.last_answer_at().unwrap_or(now) + DRAIN_FLUSH;
+        let flushed = self.drain_deadline().unwrap_or(now) + DRAIN_FLUSH;
         (now + CLOSE_TIMEOUT).min(flushed.max(now) + MIN_CLOSE_TIMEOUT)
     }
 
     /// Whether the process may end.
     pub fn is_over(&self, now: Micros, open: OpenWork) -> bool {
-        let Some(Stopping { since, last_answer_at }) = self.stopping else { return false };
-        if now >= last_answer_at + DRAIN_FLUSH {
+        let Some(Stopping { since, drain_deadline }) = self.stopping else { return false };
+        if now >= drain_deadline + DRAIN_FLUSH {
             return true;
         }
         if open.unanswered || open.incoming {
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -95,10 +95,10 @@
     }
     // A second SIGTERM does not put the end off, and a deadline of an hour counts as three seconds.
     life.handle(T + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
-    assert_eq!(life.last_answer_at(), Some(stop - DRAIN_FLUSH));
+    assert_eq!(life.drain_deadline(), Some(stop - DRAIN_FLUSH));
     let mut life = serving();
     life.handle(T, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
-    assert_eq!(life.last_answer_at(), Some(T + MAX_DRAIN + DRAIN_MARGIN));
+    assert_eq!(life.drain_deadline(), Some(T + MAX_DRAIN + DRAIN_MARGIN));
     // Out of standby it ends as from anywhere else, and begins what still comes.
     let mut life = serving();
     life.handle(T, Event::Standby).unwrap();
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -60,7 +60,7 @@
         let longest_deadline = self.classes.longest_deadline();
         // A second shutdown signal has no effect.
         let _ = self.advance_lifecycle(Event::Terminate { longest_deadline });
-        if let Some(at) = self.lifecycle.last_answer_at() {
+        if let Some(at) = self.lifecycle.drain_deadline() {
             self.timers.set(at, TimerEvent::DrainDeadline);
         }
     }
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -369,7 +369,7 @@
     let (mut client, mut cache, _) = w.asked();
     w.proxy.shut_down();
     assert_eq!(w.frame(&mut client).0, 3);
-    let last = w.proxy.lifecycle.last_answer_at().unwrap();
+    let last = w.proxy.lifecycle.drain_deadline().unwrap();
     w.skip(last - w.proxy.now);
     assert_eq!(w.frame(&mut client), (8, 1, vec![51, 0]));
     assert_eq!(w.command(&mut cache)[0], "never_mind");
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -36,7 +36,7 @@
     digest.flag(process.sends_going_away());
     digest.flag(process.closes_partial_messages(now));
     digest.flag(process.admits_requests(now));
-    digest.option(process.last_answer_at(), Digest::number);
+    digest.option(process.drain_deadline(), Digest::number);
     digest.number(process.exit_deadline(now));
     for (is_leaving, had_request) in [(false, false), (false, true), (true, false), (true, true)] {
         digest.flag(
