--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -235,7 +235,7 @@
     }
 
     /// Whether the process may end.
-    pub fn is_over(&self, now: Micros, open: OpenWork) -> bool {
+    pub fn may_exit(&self, now: Micros, open: OpenWork) -> bool {
         let Some(Stopping { since, drain_deadline }) = self.stopping else { return false };
         if now >= drain_deadline + DRAIN_FLUSH {
             return true;
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -39,7 +39,7 @@
     assert!(
         !life.closes_partial_messages(T + 3 * SECOND) && life.closes_partial_messages(T + 4 * SECOND - 1)
     );
-    assert!(!life.is_over(T + 100 * SECOND, OpenWork::default()), "standby is not the end");
+    assert!(!life.may_exit(T + 100 * SECOND, OpenWork::default()), "standby is not the end");
     life.handle(T + 3 * SECOND, Event::Active).unwrap();
     life.handle(T + 3 * SECOND, Event::Active).unwrap();
     let now = T + 9 * SECOND;
@@ -87,11 +87,11 @@
             && life.admits_requests(T)
             && !life.closes(T, idle(true, true, SECOND))
     );
-    assert!(!life.is_over(T + LINGER - 1, nothing), "requests may still be on their way");
-    assert!(life.is_over(T + LINGER, nothing));
+    assert!(!life.may_exit(T + LINGER - 1, nothing), "requests may still be on their way");
+    assert!(life.may_exit(T + LINGER, nothing));
     let stop = T + 2 * SECOND + DRAIN_MARGIN + DRAIN_FLUSH;
     for held in [owed, coming] {
-        assert!(!life.is_over(stop - 1, held) && life.is_over(stop, held));
+        assert!(!life.may_exit(stop - 1, held) && life.may_exit(stop, held));
     }
     // A second SIGTERM does not put the end off, and a deadline of an hour counts as three seconds.
     life.handle(T + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
@@ -104,7 +104,7 @@
     life.handle(T, Event::Standby).unwrap();
     life.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
     assert!(life.admits_requests(T + 3 * SECOND) && !life.closes_partial_messages(T + 4 * SECOND));
-    assert!(!life.is_over(T + 3 * SECOND, nothing) && life.is_over(T + 3 * SECOND + LINGER, nothing));
+    assert!(!life.may_exit(T + 3 * SECOND, nothing) && life.may_exit(T + 3 * SECOND + LINGER, nothing));
     // With a successor at the same queue nothing new comes: only its own connections are waited for.
     let mut life = serving();
     life.handle(T, Event::SuccessorServing { shares_listener: true }).unwrap();
@@ -114,7 +114,7 @@
         !life.closes(T, idle(true, false, LEAVING_IDLE_TIMEOUT)) && life.closes(T, idle(true, false, SECOND)),
         "a first request may come"
     );
-    assert!(!life.is_over(T, OpenWork { clients: true, ..nothing }) && life.is_over(T, nothing));
+    assert!(!life.may_exit(T, OpenWork { clients: true, ..nothing }) && life.may_exit(T, nothing));
 }
 
 proptest! {
@@ -154,9 +154,9 @@
             match ends {
                 Some(end) => {
                     prop_assert!(!life.is_serving());
-                    prop_assert_eq!(life.is_over(now, held), now >= end);
+                    prop_assert_eq!(life.may_exit(now, held), now >= end);
                 }
-                None => prop_assert!(!life.is_over(now, OpenWork::default())),
+                None => prop_assert!(!life.may_exit(now, OpenWork::default())),
             }
         }
     }
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -119,6 +119,6 @@
             incoming: !self.unfinished_reads.is_empty() || has_partial,
             clients: self.clients.values().any(|client| client.conn.is_open()),
         };
-        self.lifecycle.is_over(self.now, open)
+        self.lifecycle.may_exit(self.now, open)
     }
 }
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -48,7 +48,7 @@
     }
     let mut coin = || rng.random_ratio(1, 3);
     let held = OpenWork { unanswered: coin(), incoming: coin(), clients: coin() };
-    digest.flag(process.is_over(now, held));
+    digest.flag(process.may_exit(now, held));
 }
 
 fn play(seed: u64) -> u64 {
