--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -139,7 +139,7 @@
         let received = if self.is_started {
             Heard::AfterSilence(self.command_channel.silence(now))
         } else {
-            Heard::AtStart
+            Heard::Initial
         };
         let started = timestamps.start(now, &id, record.started_ms, received);
         Entry {
@@ -173,7 +173,7 @@
 ) -> Entry {
     let received = match started {
         StartTime::RecordedOrNow => Heard::AfterSilence(0),
-        StartTime::Unknown | StartTime::Recorded => Heard::AtStart,
+        StartTime::Unknown | StartTime::Recorded => Heard::Initial,
     };
     let recorded = timestamps.start(now, &id, endpoint.started_ms, received);
     Entry {
--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
     /// Among what held before this process listened.
-    AtStart,
+    Initial,
     /// As an event; nothing had been heard for so long before it.
     AfterSilence(Micros),
 }
@@ -87,7 +87,7 @@
         let told = self.event(now, unix_ms);
         let goes_back = known.is_some_and(|(known_ms, _)| unix_ms < known_ms);
         let too_old = match heard {
-            Heard::AtStart => false,
+            Heard::Initial => false,
             Heard::AfterSilence(silence) => now.saturating_sub(told) > LATEST_START.saturating_add(silence),
         };
         let moment = if goes_back || too_old { now } else { told };
--- a/src/timestamps/tests.rs
+++ b/src/timestamps/tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(first, NOW, "nothing else tells how old it is");
     let again = stamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_000, Heard::AfterSilence(0));
     assert_eq!(again, first);
-    assert_eq!(stamps.start(NOW, &server(), 0, Heard::AtStart), 0);
+    assert_eq!(stamps.start(NOW, &server(), 0, Heard::Initial), 0);
 }
 
 #[test]
@@ -50,7 +50,7 @@
         assert_eq!(moment, NOW + 60 * S, "known: {known}");
     }
     // After an hour in which nothing was heard, and in the list of the start, it may be.
-    for heard in [Heard::AfterSilence(3_600 * S), Heard::AtStart] {
+    for heard in [Heard::AfterSilence(3_600 * S), Heard::Initial] {
         let mut stamps = off_by(0);
         stamps.event(NOW, UNIX_MS);
         let moment = stamps.start(NOW, &server(), UNIX_MS - 1_800_000, heard);
