--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -16,7 +16,7 @@
 use crate::registry::record;
 use crate::registry::session::{StartTime, Update};
 use crate::routing::events::{EndpointState, Event, Id, Micros};
-use crate::timestamps::{Heard, Timestamps};
+use crate::timestamps::{StartReport, Timestamps};
 use mio::Token;
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -137,9 +137,9 @@
     ) -> Entry {
         let id: Id = record.id.as_str().into();
         let received = if self.is_started {
-            Heard::AfterSilence(self.command_channel.silence(now))
+            StartReport::AfterSilence(self.command_channel.silence(now))
         } else {
-            Heard::Initial
+            StartReport::Initial
         };
         let started = timestamps.start(now, &id, record.started_ms, received);
         Entry {
@@ -172,8 +172,8 @@
     timestamps: &mut Timestamps,
 ) -> Entry {
     let received = match started {
-        StartTime::RecordedOrNow => Heard::AfterSilence(0),
-        StartTime::Unknown | StartTime::Recorded => Heard::Initial,
+        StartTime::RecordedOrNow => StartReport::AfterSilence(0),
+        StartTime::Unknown | StartTime::Recorded => StartReport::Initial,
     };
     let recorded = timestamps.start(now, &id, endpoint.started_ms, received);
     Entry {
--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -25,7 +25,7 @@
 
 /// How the timestamp of a start came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum StartReport {
     /// Among what held before this process listened.
     Initial,
     /// As an event; nothing had been heard for so long before it.
@@ -76,7 +76,7 @@
 
     /// The moment at which a server started; 0, which means long ago, where its record tells no start.
     /// Guards slow start: a start keeps the moment that it was first given, and one that can't be is now.
-    pub fn start(&mut self, now: Micros, server: &Id, unix_ms: u64, heard: Heard) -> Micros {
+    pub fn start(&mut self, now: Micros, server: &Id, unix_ms: u64, heard: StartReport) -> Micros {
         if unix_ms == 0 {
             return 0;
         }
@@ -87,8 +87,10 @@
         let told = self.event(now, unix_ms);
         let goes_back = known.is_some_and(|(known_ms, _)| unix_ms < known_ms);
         let too_old = match heard {
-            Heard::Initial => false,
-            Heard::AfterSilence(silence) => now.saturating_sub(told) > LATEST_START.saturating_add(silence),
+            StartReport::Initial => false,
+            StartReport::AfterSilence(silence) => {
+                now.saturating_sub(told) > LATEST_START.saturating_add(silence)
+            }
         };
         let moment = if goes_back || too_old { now } else { told };
         self.starts.put(server.clone(), (unix_ms, moment));
--- a/src/timestamps/tests.rs
+++ b/src/timestamps/tests.rs
@@ -30,11 +30,11 @@
 #[test]
 fn a_start_keeps_the_moment_that_it_was_first_given() {
     let mut stamps = off_by(0);
-    let first = stamps.start(NOW, &server(), UNIX_MS - 3_000, Heard::AfterSilence(0));
+    let first = stamps.start(NOW, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
     assert_eq!(first, NOW, "nothing else tells how old it is");
-    let again = stamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_000, Heard::AfterSilence(0));
+    let again = stamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
     assert_eq!(again, first);
-    assert_eq!(stamps.start(NOW, &server(), 0, Heard::Initial), 0);
+    assert_eq!(stamps.start(NOW, &server(), 0, StartReport::Initial), 0);
 }
 
 #[test]
@@ -43,14 +43,14 @@
     for known in [true, false] {
         let mut stamps = off_by(0);
         if known {
-            stamps.start(NOW, &server(), UNIX_MS, Heard::AfterSilence(0));
+            stamps.start(NOW, &server(), UNIX_MS, StartReport::AfterSilence(0));
         }
         stamps.event(NOW, UNIX_MS);
-        let moment = stamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_540_000, Heard::AfterSilence(0));
+        let moment = stamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_540_000, StartReport::AfterSilence(0));
         assert_eq!(moment, NOW + 60 * S, "known: {known}");
     }
     // After an hour in which nothing was heard, and in the list of the start, it may be.
-    for heard in [Heard::AfterSilence(3_600 * S), Heard::Initial] {
+    for heard in [StartReport::AfterSilence(3_600 * S), StartReport::Initial] {
         let mut stamps = off_by(0);
         stamps.event(NOW, UNIX_MS);
         let moment = stamps.start(NOW, &server(), UNIX_MS - 1_800_000, heard);
