--- a/src/net/command_channel.rs
+++ b/src/net/command_channel.rs
@@ -174,7 +174,7 @@
     }
 
     /// Whether it should be dialed now.
-    pub fn wants_dial(&self, now: Micros) -> bool {
+    pub fn should_dial(&self, now: Micros) -> bool {
         self.connection.is_none() && now >= self.retry_at
     }
 
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -103,7 +103,7 @@
     /// Closes a failed connection, dials if a dial is due, and sets the timer for the next check.
     pub(super) fn run_command_channel(&mut self) {
         self.close_dead_command_channel();
-        if self.discovery.command_channel.wants_dial(self.now) {
+        if self.discovery.command_channel.should_dial(self.now) {
             self.dial_command_channel();
         }
         self.schedule_command_channel();
--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -421,7 +421,7 @@
             channel.put(&[&purge(42)[..], &bytes, &purge(44)].concat());
             w.until("the end", |d| (d.discovery.command_channel.metrics().malformed == times).then_some(()));
             let due = w.proxy.now + pause * MILLISECOND;
-            let [before, then] = [due - 1, due].map(|t| w.proxy.discovery.command_channel.wants_dial(t));
+            let [before, then] = [due - 1, due].map(|t| w.proxy.discovery.command_channel.should_dial(t));
             assert!(!before && then, "{what}: {times}");
             if times == 1 {
                 // Its own list and its other connections are as they were.
