--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -62,7 +62,7 @@
     /// that it must be sent again.
     fn apply_command(&mut self, numbered: Numbered) -> bool {
         let cursor = self.discovery.command_channel.cursor();
-        let outcome = self.discovery.command_channel.take_frame(self.now, &numbered);
+        let outcome = self.discovery.command_channel.handle_frame(self.now, &numbered);
         let (number, command) = numbered;
         let channel = &self.discovery.command_channel;
         match outcome {
