--- a/src/net/command_channel.rs
+++ b/src/net/command_channel.rs
@@ -363,7 +363,7 @@
     }
 
     /// Closes a connection on which an event was missing; a new one, which asks for it, is due at once.
-    pub fn ask_again(&mut self, now: Micros) {
+    pub fn reconnect_after_gap(&mut self, now: Micros) {
         self.close_connection();
         self.retry_at = now;
     }
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -42,7 +42,7 @@
         for numbered in received.messages {
             if !self.apply_command(numbered) {
                 // The messages after the gap are discarded, because they are sent again as well.
-                self.discovery.command_channel.ask_again(self.now);
+                self.discovery.command_channel.reconnect_after_gap(self.now);
                 return self.run_command_channel();
             }
         }
