--- a/src/net/command_channel.rs
+++ b/src/net/command_channel.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 use super::connection::{Callbacks, Closed, Connection, State};
-use super::protocol::command_channel::{encode_hello, Command, Numbered};
+use super::protocol::command_channel::{encode_hello, Command, NumberedCommand};
 use crate::routing::events::Micros;
 use mio::net::TcpStream;
 use mio::Token;
@@ -208,7 +208,7 @@
     /// event has not come: a drain or a purge would be missed. It is asked for once; where it is missing again, it is
     /// not to be had, and what came is better than nothing. A complete list may jump: it says all that those before
     /// it said of endpoints.
-    pub fn handle_frame(&mut self, now: Micros, frame: &Numbered) -> FrameOutcome {
+    pub fn handle_frame(&mut self, now: Micros, frame: &NumberedCommand) -> FrameOutcome {
         self.note_frame(now);
         let number = frame.0;
         // What `number` may be at most if nothing is missing before it.
--- a/src/net/protocol/command_channel.rs
+++ b/src/net/protocol/command_channel.rs
@@ -69,10 +69,10 @@
 }
 
 /// One frame of the channel; `None`: nothing new.
-pub type Numbered = (u64, Option<Command>);
+pub type NumberedCommand = (u64, Option<Command>);
 
 /// Takes one frame off the front of `bytes`, or leaves them as they are if it is not whole yet.
-pub fn decode(bytes: &mut BytesMut) -> Result<Option<Numbered>, Malformed> {
+pub fn decode(bytes: &mut BytesMut) -> Result<Option<NumberedCommand>, Malformed> {
     let Some(mut frame) = take_frame(bytes, FRAME_LENGTHS)? else { return Ok(None) };
     let (number, kind) = (frame.get_u64(), frame.get_u8());
     let command = match (kind, frame.len()) {
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -10,7 +10,7 @@
 use crate::net::command_channel::{Failure, FrameOutcome};
 use crate::net::connection::Connection;
 use crate::net::event_loop::Ready;
-use crate::net::protocol::command_channel::{decode, Command, Numbered, Purge};
+use crate::net::protocol::command_channel::{decode, Command, NumberedCommand, Purge};
 use crate::routing::events::{Event, Micros};
 use slog::{debug, warn};
 
@@ -60,7 +60,7 @@
 
     /// Executes a command unless it was executed before. Returns `false` if events before it are missing, so
     /// that it must be sent again.
-    fn apply_command(&mut self, numbered: Numbered) -> bool {
+    fn apply_command(&mut self, numbered: NumberedCommand) -> bool {
         let cursor = self.discovery.command_channel.cursor();
         let outcome = self.discovery.command_channel.handle_frame(self.now, &numbered);
         let (number, command) = numbered;
