--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -27,7 +27,7 @@
     /// Nobody waits any more.
     Empty,
     /// That one connection is gone; the next may be taken.
-    Next,
+    ConnectionLost,
     /// There is no descriptor: one must be freed first.
     NoDescriptor,
     /// The system has no room: later.
@@ -39,7 +39,7 @@
     let is = |codes: &[Errno]| codes.iter().any(|c| error.raw_os_error() == Some(c.raw_os_error()));
     match error.kind() {
         ErrorKind::WouldBlock => Failure::Empty,
-        _ if is(&OF_ONE_CONNECTION) => Failure::Next,
+        _ if is(&OF_ONE_CONNECTION) => Failure::ConnectionLost,
         _ if is_out_of_descriptors(error) => Failure::NoDescriptor,
         _ => Failure::Later,
     }
--- a/src/net/accept/tests.rs
+++ b/src/net/accept/tests.rs
@@ -7,7 +7,7 @@
 fn each_error_that_linux_documents_has_its_consequence() {
     let of = |errno: Errno| failure(&io::Error::from_raw_os_error(errno.raw_os_error()));
     for one in OF_ONE_CONNECTION {
-        assert_eq!(of(one), Failure::Next, "{one:?}");
+        assert_eq!(of(one), Failure::ConnectionLost, "{one:?}");
     }
     assert_eq!((of(Errno::AGAIN), of(Errno::MFILE)), (Failure::Empty, Failure::NoDescriptor));
     assert_eq!(of(Errno::NFILE), Failure::NoDescriptor);
--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -52,7 +52,7 @@
                 }
                 Err(error) => match accept::failure(&error) {
                     Failure::Empty => return,
-                    Failure::Next => self.metrics.accept_failures += 1,
+                    Failure::ConnectionLost => self.metrics.accept_failures += 1,
                     reason @ (Failure::NoDescriptor | Failure::Later) => {
                         warn!(self.log, "accept failed"; "error" => %error);
                         return self.accept_failed(reason);
