--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -31,7 +31,7 @@
     /// There is no descriptor: one must be freed first.
     NoDescriptor,
     /// The system has no room: later.
-    Later,
+    NoResources,
 }
 
 /// Judges an error of accept.
@@ -41,7 +41,7 @@
         ErrorKind::WouldBlock => Failure::Empty,
         _ if is(&OF_ONE_CONNECTION) => Failure::ConnectionLost,
         _ if is_out_of_descriptors(error) => Failure::NoDescriptor,
-        _ => Failure::Later,
+        _ => Failure::NoResources,
     }
 }
 
--- a/src/net/accept/tests.rs
+++ b/src/net/accept/tests.rs
@@ -11,5 +11,5 @@
     }
     assert_eq!((of(Errno::AGAIN), of(Errno::MFILE)), (Failure::Empty, Failure::NoDescriptor));
     assert_eq!(of(Errno::NFILE), Failure::NoDescriptor);
-    assert_eq!((of(Errno::NOBUFS), of(Errno::NOMEM)), (Failure::Later, Failure::Later));
+    assert_eq!((of(Errno::NOBUFS), of(Errno::NOMEM)), (Failure::NoResources, Failure::NoResources));
 }
--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -53,7 +53,7 @@
                 Err(error) => match accept::failure(&error) {
                     Failure::Empty => return,
                     Failure::ConnectionLost => self.metrics.accept_failures += 1,
-                    reason @ (Failure::NoDescriptor | Failure::Later) => {
+                    reason @ (Failure::NoDescriptor | Failure::NoResources) => {
                         warn!(self.log, "accept failed"; "error" => %error);
                         return self.accept_failed(reason);
                     }
