--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::startup::Cause;
 use crate::net::clock::Clock;
 use crate::net::event_loop::{EventLoop, SignalFlags};
-use crate::net::startup::{cause, persist};
+use crate::net::startup::{cause, retry_step};
 use crate::proxy::{Proxy, Startup};
 use slog::{info, o, Drain, Level, Logger};
 use slog_async::{AsyncGuard, OverflowStrategy};
@@ -62,7 +62,7 @@
     let to_end = || flags.is_shutdown_requested();
     let say = |e: &io::Error| eprintln!("larchdale: can't start yet: {e}; trying again");
     // The loop must have room for what is read besides, so both are one step.
-    persist(clock, &to_end, &say, || {
+    retry_step(clock, &to_end, &say, || {
         let event_loop = EventLoop::with(flags.clone())?;
         match Config::from_env() {
             Err(ConfigError::Unreadable(_, e)) if cause(&e) == Cause::Resource => Err(e),
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -36,7 +36,7 @@
 /// # Errors
 /// That of the last try; or one of the kind [`ErrorKind::Interrupted`] once `is_ending` says that the process is to
 /// end.
-pub fn persist<T>(
+pub fn retry_step<T>(
     clock: &Clock,
     is_ending: &dyn Fn() -> bool,
     report: &dyn Fn(&io::Error),
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -24,7 +24,7 @@
 use crate::net::clock::Clock;
 use crate::net::event_loop::{EventLoop, SignalFlags, Timers};
 use crate::net::pool::Pool;
-use crate::net::startup::persist;
+use crate::net::startup::retry_step;
 use crate::registry::driver::Driver;
 use crate::registry::record::Names;
 use crate::routing::events::{Event, Micros};
@@ -73,7 +73,7 @@
     fn run<T>(&self, step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         let is_shutdown_requested = || self.flags.is_shutdown_requested();
         let report = |error: &io::Error| warn!(self.log, "can't start yet, trying again"; "error" => %error);
-        persist(self.clock, &is_shutdown_requested, &report, step)
+        retry_step(self.clock, &is_shutdown_requested, &report, step)
     }
 }
 
