--- a/src/config/platform/known_events.rs
+++ b/src/config/platform/known_events.rs
@@ -69,7 +69,7 @@
         match (self.nodes, self.drop) {
             (Some(nodes), _) => {
                 let records = nodes.instances.into_iter().map(|instance| instance.into_record(settings));
-                Ok(Command::Endpoints { whole: nodes.reset, records: records.collect::<Result<_, _>>()? })
+                Ok(Command::Endpoints { complete: nodes.reset, records: records.collect::<Result<_, _>>()? })
             }
             (None, Some(drop)) => drop.into_command(),
             (None, None) => Err(ConfigError::value("known event", "neither nodes nor drop")),
--- a/src/net/command_channel.rs
+++ b/src/net/command_channel.rs
@@ -214,7 +214,7 @@
         // What `number` may be at most if nothing is missing before it.
         let (is_empty, expected) = match &frame.1 {
             None => (true, self.cursor),
-            Some(Command::Endpoints { whole: true, .. }) => (false, number),
+            Some(Command::Endpoints { complete: true, .. }) => (false, number),
             Some(_) => (false, self.cursor + 1),
         };
         if number <= self.cursor || is_empty && self.empty_frames_differ {
--- a/src/net/protocol/command_channel.rs
+++ b/src/net/protocol/command_channel.rs
@@ -46,7 +46,7 @@
     /// The list of endpoints, or its changes.
     Endpoints {
         /// Who is not named is gone.
-        whole: bool,
+        complete: bool,
         /// The entries.
         records: Vec<Record>,
     },
@@ -79,7 +79,7 @@
         (0, _) => None,
         (1 | 2, size) if size % RECORD_BYTES == 0 => {
             let records = frame.chunks_exact(RECORD_BYTES).map(decode_record).collect::<Result<_, _>>()?;
-            Some(Command::Endpoints { whole: kind == 1, records })
+            Some(Command::Endpoints { complete: kind == 1, records })
         }
         (3, 16) => {
             let what = Purge::Object(frame.get_u64());
--- a/src/net/protocol/tests.rs
+++ b/src/net/protocol/tests.rs
@@ -73,7 +73,7 @@
         weight: 4.0,
         started_ms: 7,
     };
-    let endpoints = command_channel::Command::Endpoints { whole: false, records: vec![record] };
+    let endpoints = command_channel::Command::Endpoints { complete: false, records: vec![record] };
     let what = command_channel::Purge::Group(17);
     let purge = command_channel::Command::Purge { what, when_ms: 9 };
     assert_eq!(events, [(41, None), (42, Some(endpoints)), (43, Some(purge))]);
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -154,7 +154,7 @@
             // With a registry the channel's endpoint list is ignored, because two sources would undo each
             // other's drains.
             Command::Endpoints { .. } if self.discovery.has_registry() => {}
-            Command::Endpoints { whole, records } => self.apply_endpoints(whole, records),
+            Command::Endpoints { complete, records } => self.apply_endpoints(complete, records),
             Command::Purge { what, when_ms } => self.purge(what, when_ms),
         }
     }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -191,8 +191,8 @@
     let change = vec![record("s-00c41f7d", State::Draining)];
     let messages = [
         (41, None),
-        (42, Some(Command::Endpoints { whole: true, records: whole })),
-        (43, Some(Command::Endpoints { whole: false, records: change })),
+        (42, Some(Command::Endpoints { complete: true, records: whole })),
+        (43, Some(Command::Endpoints { complete: false, records: change })),
         (44, Some(Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 })),
         (45, Some(Command::Purge { what: Purge::Group(17), when_ms: 902 })),
     ];
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -92,7 +92,7 @@
         record("s-00000003", 9_103, State::Gone),
     ];
     vec![
-        Command::Endpoints { whole: true, records },
+        Command::Endpoints { complete: true, records },
         Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 },
         Command::Purge { what: Purge::Group(17), when_ms: 902 },
     ]
@@ -121,7 +121,7 @@
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, "examples/config.json".into()).unwrap();
     assert_eq!((config.name.as_str(), config.cursor, config.seed), ("example", 1, 0x8c1f_30d2_7a5b_e964));
-    let [Command::Endpoints { whole: true, records }] = &config.known[..] else {
+    let [Command::Endpoints { complete: true, records }] = &config.known[..] else {
         panic!("{:?}", config.known)
     };
     let records: Vec<_> = records.iter().map(|r| (r.id.as_str(), r.zone, r.kind, r.weight)).collect();
