--- a/src/config/platform/known_events.rs
+++ b/src/config/platform/known_events.rs
@@ -79,7 +79,7 @@
 
 impl Drop {
     fn into_command(self) -> Result<Command, ConfigError> {
-        let what = match (self.id, self.family) {
+        let scope = match (self.id, self.family) {
             (Some(id), _) => match u64::from_str_radix(&id, 16) {
                 Ok(object) => Purge::Object(object),
                 Err(_) => return Err(ConfigError::value("object", id)),
@@ -87,7 +87,7 @@
             (None, Some(group)) => Purge::Group(group),
             (None, None) => return Err(ConfigError::value("purge", "neither id nor family")),
         };
-        Ok(Command::Purge { what, when_ms: self.when })
+        Ok(Command::Purge { scope, when_ms: self.when })
     }
 }
 
--- a/src/net/protocol/command_channel.rs
+++ b/src/net/protocol/command_channel.rs
@@ -53,7 +53,7 @@
     /// Copies older than a Unix millisecond are void.
     Purge {
         /// The object or the group.
-        what: Purge,
+        scope: Purge,
         /// When it was purged.
         when_ms: u64,
     },
@@ -82,12 +82,12 @@
             Some(Command::Endpoints { complete: kind == 1, records })
         }
         (3, 16) => {
-            let what = Purge::Object(frame.get_u64());
-            Some(Command::Purge { what, when_ms: frame.get_u64() })
+            let scope = Purge::Object(frame.get_u64());
+            Some(Command::Purge { scope, when_ms: frame.get_u64() })
         }
         (4, 10) => {
-            let what = Purge::Group(u64::from(frame.get_u16()));
-            Some(Command::Purge { what, when_ms: frame.get_u64() })
+            let scope = Purge::Group(u64::from(frame.get_u16()));
+            Some(Command::Purge { scope, when_ms: frame.get_u64() })
         }
         _ => return Err(Malformed::EventKind),
     };
--- a/src/net/protocol/tests.rs
+++ b/src/net/protocol/tests.rs
@@ -74,8 +74,8 @@
         started_ms: 7,
     };
     let endpoints = command_channel::Command::Endpoints { complete: false, records: vec![record] };
-    let what = command_channel::Purge::Group(17);
-    let purge = command_channel::Command::Purge { what, when_ms: 9 };
+    let scope = command_channel::Purge::Group(17);
+    let purge = command_channel::Command::Purge { scope, when_ms: 9 };
     assert_eq!(events, [(41, None), (42, Some(endpoints)), (43, Some(purge))]);
 }
 
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -155,7 +155,7 @@
             // other's drains.
             Command::Endpoints { .. } if self.discovery.has_registry() => {}
             Command::Endpoints { complete, records } => self.apply_endpoints(complete, records),
-            Command::Purge { what, when_ms } => self.purge(what, when_ms),
+            Command::Purge { scope, when_ms } => self.purge(scope, when_ms),
         }
     }
 
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -184,10 +184,10 @@
     pub(super) fn execute_purge_log_action(&mut self, action: Action) {
         match action {
             Action::Purge(Cover::Object(object), when_ms) => {
-                self.execute(Command::Purge { what: Purge::Object(object), when_ms });
+                self.execute(Command::Purge { scope: Purge::Object(object), when_ms });
             }
             Action::Purge(Cover::Group(group), when_ms) => {
-                self.execute(Command::Purge { what: Purge::Group(group), when_ms });
+                self.execute(Command::Purge { scope: Purge::Group(group), when_ms });
             }
             Action::Purge(..) => invariant!(false, "a purge from the log covers an object or a group"),
             Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -381,8 +381,8 @@
             self.timestamps.event(self.now, written_ms);
         }
         for PurgeInForce { object, group, purged_ms } in state.purges {
-            let what = object.map_or(Purge::Group(group), Purge::Object);
-            self.execute(Command::Purge { what, when_ms: purged_ms });
+            let scope = object.map_or(Purge::Group(group), Purge::Object);
+            self.execute(Command::Purge { scope, when_ms: purged_ms });
         }
     }
 
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -85,7 +85,7 @@
     old.proxy.takeover = Some(Takeover::new(files(), None, false, &mut old.proxy.event_loop));
     old.proxy.begin_serving();
     let when_ms = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis() as u64;
-    old.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms });
+    old.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms });
     old.skip(3_000 * MILLISECOND);
     let (asking, log) = (files(), old.proxy.log.clone());
     let asks = std::thread::spawn(move || predecessor::find(&asking, &log).unwrap());
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -489,7 +489,7 @@
                 }
             }),
             Step::Purge => {
-                self.w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
+                self.w.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms: 1 });
                 self.w.proxy.process_events();
             }
             Step::List { healthy } if self.w.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
--- a/src/proxy/tests/upstreams.rs
+++ b/src/proxy/tests/upstreams.rs
@@ -27,8 +27,8 @@
 #[test]
 fn attempts_waiting_for_a_dial_are_dropped_after_a_purge_a_drain_or_an_incomplete_purge_log() {
     let purge = |d: &mut Proxy| {
-        let what = Purge::Object(0x7f3a9c21e0b4d655);
-        d.execute(Command::Purge { what, when_ms: 1 });
+        let scope = Purge::Object(0x7f3a9c21e0b4d655);
+        d.execute(Command::Purge { scope, when_ms: 1 });
     };
     let drain = |d: &mut Proxy| {
         let entry = d.discovery.endpoint_list.entry(CACHE).unwrap().clone();
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -77,7 +77,7 @@
 fn a_purge_is_never_taken_for_older_than_it_is() {
     for error_ms in [-HOUR_MS, 0, HOUR_MS] {
         let mut w = off_by(error_ms, |_| {});
-        w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
+        w.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms: unix_ms() });
         w.proxy.process_events();
         w.skip(600 * MILLISECOND);
         let mut client = w.client();
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -193,8 +193,8 @@
         (41, None),
         (42, Some(Command::Endpoints { complete: true, records: whole })),
         (43, Some(Command::Endpoints { complete: false, records: change })),
-        (44, Some(Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 })),
-        (45, Some(Command::Purge { what: Purge::Group(17), when_ms: 902 })),
+        (44, Some(Command::Purge { scope: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 })),
+        (45, Some(Command::Purge { scope: Purge::Group(17), when_ms: 902 })),
     ];
     assert_eq!(all(&bytes, command_channel::decode), messages);
     assert_eq!(command_channel::encode_hello(0x0102_0304_0506_0708), [1, 2, 3, 4, 5, 6, 7, 8]);
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -93,8 +93,8 @@
     ];
     vec![
         Command::Endpoints { complete: true, records },
-        Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 },
-        Command::Purge { what: Purge::Group(17), when_ms: 902 },
+        Command::Purge { scope: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 },
+        Command::Purge { scope: Purge::Group(17), when_ms: 902 },
     ]
 }
 
