--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,6 +1,7 @@
-//! From the start of a process to its end: what it accepts, what its clients are told, when it ends.
+//! State machine of a process from startup to exit: which connections and requests it accepts, when clients are told to
+//! disconnect, and when the process exits.
 //!
-//! No input or output, no clock. The driver is `src/proxy/draining.rs`.
+//! The module does no I/O and reads no clock. Its driver is `src/proxy/draining.rs`.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 pub mod startup;
@@ -10,110 +11,112 @@
 use crate::routing::events::Micros;
 
 const MICROS_PER_MS: Micros = 1_000;
-/// After SIGTERM everything goes on as before for so long: new connections keep coming for 0.4 s, and requests on them
-/// for 0.2 s more.
-const LINGER: Micros = 900 * MICROS_PER_MS;
-/// After SIGTERM the longest deadline is waited for, but no longer than this.
+/// Minimum time for which the process keeps serving after SIGTERM: new connections arrive for another 0.4 s, and
+/// requests on them for 0.2 s more.
+const MIN_DRAIN: Micros = 900 * MICROS_PER_MS;
+/// Maximum time for which a drain after SIGTERM waits for the longest client deadline.
 const MAX_DRAIN: Micros = 3_000 * MICROS_PER_MS;
-/// What the last answers of a drain may come later than the longest deadline.
+/// Time by which the last responses of a drain may exceed the longest deadline.
 const DRAIN_MARGIN: Micros = 400 * MICROS_PER_MS;
-/// What the last answers of a drain have to reach their clients.
+/// Time for the last responses of a drain to reach their clients.
 const DRAIN_FLUSH: Micros = 200 * MICROS_PER_MS;
-/// At the very end: what the clients have to see the end of their connections.
+/// Maximum time that clients have to close their side of the connections before the process exits.
 const CLOSE_TIMEOUT: Micros = 200 * MICROS_PER_MS;
-/// The least of it after the last answers.
+/// Minimum of that time after the last responses were flushed.
 const MIN_CLOSE_TIMEOUT: Micros = 50 * MICROS_PER_MS;
-/// A connection whose client was told to leave is closed after so long with nothing open: twice the time in which a
-/// request that crosses a close is sent again.
+/// Idle time after which a connection whose client was told to leave is closed: twice the time in which a client
+/// resends a request that crossed a close.
 pub const LEAVING_IDLE_TIMEOUT: Micros = 100 * MICROS_PER_MS;
-/// The same on a connection without a request so far: the one that its client connected for may still be on its way.
+/// Idle timeout of a connection without any request so far: the request for which the client connected may still be in
+/// transit.
 const FIRST_REQUEST_TIMEOUT: Micros = 1_000 * MICROS_PER_MS;
-/// In standby requests are begun until then: 4 s after the call none may be open that came in the last 2 s.
-const STANDBY_BEGINS_UNTIL: Micros = 1_800 * MICROS_PER_MS;
-/// In standby a message that is not complete by then ends with its connection, so that none is open at 4 s.
-const STANDBY_ENDS_PARTIAL: Micros = 3_500 * MICROS_PER_MS;
+/// Time in standby for which new requests are admitted: 4 s after the call, no request that arrived in the last 2 s may
+/// be open.
+const STANDBY_ADMIT_TIME: Micros = 1_800 * MICROS_PER_MS;
+/// Time in standby after which a connection with an incomplete message is closed, so that none is open after 4 s.
+const STANDBY_PARTIAL_TIMEOUT: Micros = 3_500 * MICROS_PER_MS;
 
-/// What happens to a process.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Whether endpoints are listed: without any no client can be served.
+    /// Whether the endpoint list has any entry; without one no client can be served.
     EndpointsListed(bool),
-    /// Operators want the instance empty.
+    /// An operator asked the instance to drain its clients.
     Standby,
-    /// Operators want it to take clients again.
+    /// An operator asked the instance to serve clients again.
     Active,
-    /// Another process takes clients at the same address.
+    /// Another process serves clients at the same address.
     SuccessorServing {
-        /// Whether it accepts from the same queue of connections: then one that this process does not accept is not
-        /// lost.
+        /// Whether the successor accepts from the same listen queue, so that a connection that this process does not
+        /// accept is not lost.
         shares_listener: bool,
     },
-    /// That process has ended.
+    /// The successor has exited.
     SuccessorEnded,
-    /// SIGTERM.
+    /// SIGTERM was received.
     Terminate {
-        /// The longest that a client waits.
+        /// Longest deadline of any client, in microseconds.
         longest_deadline: Micros,
     },
-    /// Everything is answered: the connections are closed, then the process ends.
+    /// All requests are answered: the connections are closed, then the process exits.
     Close,
 }
 
-/// Why an operator's call changes nothing.
+/// Why an operator's call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallRefused {
     /// Another process has taken over.
-    #[error("replaced: ask the process that has taken over")]
+    #[error("replaced: send the call to the process that has taken over")]
     Replaced,
-    /// The process is on its way out.
-    #[error("stopping: this process was told to end")]
+    /// The process is shutting down.
+    #[error("stopping: this process is shutting down")]
     Stopping,
 }
 
-/// What is still open when the end is asked for.
+/// Work that is still open during a drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenWork {
-    /// Requests without an answer, or answers that are not written.
+    /// Whether there are requests without a response, or responses that are not fully written.
     pub unanswered: bool,
-    /// Messages that have begun to come, or connections that may be waited for.
+    /// Whether there are partially received messages, or connections that a client may have opened for a request.
     pub incoming: bool,
-    /// Any client connection.
+    /// Whether there is any client connection.
     pub clients: bool,
 }
 
-/// A client connection with nothing open.
+/// A client connection without open requests.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleConnection {
-    /// Its client was told to leave.
+    /// Whether its client was told to leave.
     pub is_leaving: bool,
-    /// It has ever had a request.
+    /// Whether a request was ever received on the connection.
     pub had_request: bool,
-    /// For how long nothing has been open on it.
+    /// Time since the last open request, in microseconds.
     pub idle: Micros,
 }
 
-/// Where a process stands.
+/// The phases of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no list of endpoints yet.
+    /// The endpoint list is still empty.
     Starting,
-    /// It takes clients.
+    /// The process serves clients.
     Serving,
-    /// Operators emptied it.
+    /// An operator asked the instance to drain its clients.
     Standby,
     /// Another process has taken over.
     Replaced,
-    /// It was told to end.
+    /// The process was told to terminate.
     Stopping,
 }
 
-/// Another process takes clients.
+/// State after another process has taken over.
 #[derive(Clone, Copy, Debug)]
 struct Replaced {
     shares_listener: bool,
 }
 
-/// The process is to end.
+/// State after SIGTERM.
 #[derive(Clone, Copy, Debug)]
 struct Stopping {
     since: Micros,
@@ -127,15 +130,15 @@
     standby_since: Option<Micros>,
     replaced: Option<Replaced>,
     stopping: Option<Stopping>,
-    /// Nothing is accepted any more.
+    /// Whether the connections are being closed; no connection is accepted any more.
     is_closing: bool,
 }
 
 impl Lifecycle {
-    /// Takes an event. One that comes a second time changes nothing.
+    /// Handles an event. A repeated event changes nothing.
     ///
     /// # Errors
-    /// A call of the operators that this process can't follow.
+    /// Returns why an operator's call can't be carried out by this process.
     pub fn handle(&mut self, now: Micros, event: Event) -> Result<(), CallRefused> {
         match event {
             Event::EndpointsListed(listed) => self.has_endpoints = listed,
@@ -158,7 +161,7 @@
         Ok(())
     }
 
-    /// Where it stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match self {
             Lifecycle { stopping: Some(_), .. } => Phase::Stopping,
@@ -169,23 +172,24 @@
         }
     }
 
-    /// Whether this process takes clients: what `status` tells.
+    /// Whether this process serves clients, as reported by `status`.
     pub fn is_serving(&self) -> bool {
         self.phase() == Phase::Serving
     }
 
-    /// What the front is told. It asks the instance, whichever process it meets.
+    /// Whether readiness checks succeed. A check addresses the instance, whichever of its processes it reaches, so this
+    /// process stays ready after a successor has taken over.
     pub fn is_ready(&self) -> bool {
         self.is_serving() || self.replaced.is_some()
     }
 
-    /// Whether the successor accepts from this process's queue of connections.
+    /// Whether the successor accepts from this process's listen queue.
     fn shares_listener(&self) -> bool {
         self.replaced.is_some_and(|replaced| replaced.shares_listener)
     }
 
-    /// Whether connections are accepted. What only this process's listener gets is accepted in any phase: no other
-    /// process would.
+    /// Whether connections are accepted. A connection in a listen queue of this process alone is accepted in any phase
+    /// until the close, because no other process can accept it.
     pub fn accepts_connections(&self) -> bool {
         !self.is_closing && !self.shares_listener()
     }
@@ -195,46 +199,45 @@
         !matches!(self.phase(), Phase::Starting | Phase::Serving)
     }
 
-    /// Whether a connection with nothing open is closed.
+    /// Whether an idle connection is to be closed.
     pub fn closes(&self, now: Micros, connection: IdleConnection) -> bool {
-        // In a plain stop the end of the process closes it.
+        // Without a successor, a stopping process closes the connection when it exits.
         let closes_leaving = self.phase() != Phase::Stopping || self.replaced.is_some();
-        let has_to_go =
-            (connection.is_leaving && closes_leaving) || self.is_standby_past(now, STANDBY_BEGINS_UNTIL);
+        let must_close =
+            (connection.is_leaving && closes_leaving) || self.is_standby_past(now, STANDBY_ADMIT_TIME);
         let timeout = if connection.had_request { LEAVING_IDLE_TIMEOUT } else { FIRST_REQUEST_TIMEOUT };
-        connection.idle >= timeout && has_to_go
+        connection.idle >= timeout && must_close
     }
 
-    /// Whether it is in standby, and was told so at least that long ago.
+    /// Whether the process has been in standby for at least `span`.
     fn is_standby_past(&self, now: Micros, span: Micros) -> bool {
         self.phase() == Phase::Standby
             && self.standby_since.is_some_and(|since| now.saturating_sub(since) >= span)
     }
 
-    /// Whether a message that is not complete by now ends with its connection.
+    /// Whether connections with an incomplete message are to be closed.
     pub fn closes_partial_messages(&self, now: Micros) -> bool {
-        self.is_standby_past(now, STANDBY_ENDS_PARTIAL)
+        self.is_standby_past(now, STANDBY_PARTIAL_TIMEOUT)
     }
 
-    /// Whether a request that comes now is begun; else it is refused at once. After the last answers of a drain nobody
-    /// would wait for how it ends.
+    /// Whether a request that arrives now is admitted; otherwise it is rejected at once. After the drain deadline no
+    /// client would wait for the response.
     pub fn admits_requests(&self, now: Micros) -> bool {
-        self.drain_deadline().is_none_or(|last| now < last)
-            && !self.is_standby_past(now, STANDBY_BEGINS_UNTIL)
+        self.drain_deadline().is_none_or(|last| now < last) && !self.is_standby_past(now, STANDBY_ADMIT_TIME)
     }
 
-    /// When whatever is still open after SIGTERM gets its last answer.
+    /// Returns the time at which requests still open after SIGTERM get their final response.
     pub fn drain_deadline(&self) -> Option<Micros> {
         self.stopping.map(|stopping| stopping.drain_deadline)
     }
 
-    /// When the process ends, whether or not its clients have seen the end of their connections by then.
+    /// Returns the time at which the process exits, whether or not clients have closed their connections by then.
     pub fn exit_deadline(&self, now: Micros) -> Micros {
         let flushed = self.drain_deadline().unwrap_or(now) + DRAIN_FLUSH;
         (now + CLOSE_TIMEOUT).min(flushed.max(now) + MIN_CLOSE_TIMEOUT)
     }
 
-    /// Whether the process may end.
+    /// Whether the process may exit.
     pub fn may_exit(&self, now: Micros, open: OpenWork) -> bool {
         let Some(Stopping { since, drain_deadline }) = self.stopping else { return false };
         if now >= drain_deadline + DRAIN_FLUSH {
@@ -244,10 +247,10 @@
             return false;
         }
         if self.shares_listener() {
-            // Nothing new comes here: it may end as soon as all connections have.
+            // This process gets no new connections: it may exit as soon as all existing ones are closed.
             !open.clients
         } else {
-            now >= since + LINGER
+            now >= since + MIN_DRAIN
         }
     }
 }
--- a/src/lifecycle/startup.rs
+++ b/src/lifecycle/startup.rs
@@ -1,51 +1,51 @@
-//! A step of the start that fails: whether it is tried again, and when.
+//! Retry policy for failed startup steps.
 //!
-//! No input or output, no clock. The driver is `src/net/startup.rs`.
+//! The module does no I/O and reads no clock. Its driver is `src/net/startup.rs`.
 
 use crate::routing::events::Micros;
 
 const MICROS_PER_MS: Micros = 1_000;
-/// The pause before the first retry; each one after it is twice as long, up to the longest.
+/// Pause before the first retry; doubled for each further one, up to `MAX_PAUSE`.
 const FIRST_PAUSE: Micros = 20 * MICROS_PER_MS;
 const MAX_PAUSE: Micros = 200 * MICROS_PER_MS;
-/// For how long a step that lacks a resource is tried: an instance has 30 s to be ready.
+/// Time for which a step that lacks a resource is retried: an instance has 30 s to become ready.
 const RESOURCE_TIMEOUT: Micros = 25_000 * MICROS_PER_MS;
-/// For how long an address in use is waited for: its process may be ending. An instance that was started twice by
-/// mistake is told soon.
+/// Time for which a step that finds its address in use is retried: the process that holds the address may be exiting.
+/// Short, so that an instance started twice by mistake fails soon.
 const ADDRESS_TIMEOUT: Micros = 5_000 * MICROS_PER_MS;
 
 /// Why a step failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The system lacks something that it may have again in a moment: descriptors, memory, buffers, a route.
+    /// The system lacks a resource that may soon be available again: descriptors, memory, buffers, a route.
     Resource,
     /// The address is in use.
     AddressInUse,
-    /// No wait mends it.
+    /// A retry would fail as well.
     Permanent,
 }
 
 /// The retries of one step.
 #[derive(Clone, Copy, Debug)]
 pub struct Retries {
-    began: Micros,
+    started_at: Micros,
     pause: Micros,
 }
 
 impl Retries {
-    /// The first try is made now.
+    /// Starts the retries of a step whose first attempt is made at `now`.
     pub fn new(now: Micros) -> Self {
-        Retries { began: now, pause: FIRST_PAUSE }
+        Retries { started_at: now, pause: FIRST_PAUSE }
     }
 
-    /// After a try has failed: the pause before the next one; `None`: there is none.
+    /// Returns the pause before the next attempt after one has failed, or `None` if the step is to be given up.
     pub fn failed(&mut self, now: Micros, cause: Cause) -> Option<Micros> {
         let timeout = match cause {
             Cause::Resource => RESOURCE_TIMEOUT,
             Cause::AddressInUse => ADDRESS_TIMEOUT,
             Cause::Permanent => return None,
         };
-        if now.saturating_sub(self.began) >= timeout {
+        if now.saturating_sub(self.started_at) >= timeout {
             return None;
         }
         let pause = self.pause;
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -8,155 +8,177 @@
     IdleConnection { is_leaving, had_request, idle }
 }
 
-fn serving() -> Lifecycle {
-    let mut life = Lifecycle::default();
-    assert_eq!((life.phase(), life.is_serving()), (Phase::Starting, false));
-    life.handle(T, Event::EndpointsListed(true)).unwrap();
-    assert!(life.is_serving() && life.is_ready() && life.accepts_connections() && !life.sends_going_away());
-    life
+fn serving_process() -> Lifecycle {
+    let mut process = Lifecycle::default();
+    assert_eq!((process.phase(), process.is_serving()), (Phase::Starting, false));
+    process.handle(T, Event::EndpointsListed(true)).unwrap();
+    assert!(
+        process.is_serving()
+            && process.is_ready()
+            && process.accepts_connections()
+            && !process.sends_going_away()
+    );
+    process
 }
 
 #[test]
-fn standby_empties_within_four_seconds_and_active_ends_it_at_any_moment() {
-    let mut life = serving();
-    life.handle(T, Event::Standby).unwrap();
-    assert!(!life.is_serving() && !life.is_ready() && life.sends_going_away());
-    assert!(life.accepts_connections() && life.admits_requests(T + SECOND), "what still comes is served");
+fn standby_drains_clients_within_four_seconds_and_active_cancels_it_at_any_time() {
+    let mut process = serving_process();
+    process.handle(T, Event::Standby).unwrap();
+    assert!(!process.is_serving() && !process.is_ready() && process.sends_going_away());
+    assert!(
+        process.accepts_connections() && process.admits_requests(T + SECOND),
+        "new requests are still served early in standby"
+    );
     assert!(
-        life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
-            && !life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
+        process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
+            && !process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
     );
     assert!(
-        !life.closes(T + SECOND, idle(false, true, SECOND)),
+        !process.closes(T + SECOND, idle(false, true, SECOND)),
         "a new connection may still bring its request"
     );
-    // A second call does not begin the drain anew.
-    life.handle(T + SECOND, Event::Standby).unwrap();
+    // A second call does not restart the drain.
+    process.handle(T + SECOND, Event::Standby).unwrap();
     assert!(
-        !life.admits_requests(T + 2 * SECOND)
-            && life.closes(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
+        !process.admits_requests(T + 2 * SECOND)
+            && process.closes(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
     );
     assert!(
-        !life.closes_partial_messages(T + 3 * SECOND) && life.closes_partial_messages(T + 4 * SECOND - 1)
+        !process.closes_partial_messages(T + 3 * SECOND)
+            && process.closes_partial_messages(T + 4 * SECOND - 1)
     );
-    assert!(!life.may_exit(T + 100 * SECOND, OpenWork::default()), "standby is not the end");
-    life.handle(T + 3 * SECOND, Event::Active).unwrap();
-    life.handle(T + 3 * SECOND, Event::Active).unwrap();
+    assert!(!process.may_exit(T + 100 * SECOND, OpenWork::default()), "standby does not end the process");
+    process.handle(T + 3 * SECOND, Event::Active).unwrap();
+    process.handle(T + 3 * SECOND, Event::Active).unwrap();
     let now = T + 9 * SECOND;
     assert!(
-        life.is_serving()
-            && life.admits_requests(now)
-            && !life.sends_going_away()
-            && !life.closes_partial_messages(now)
+        process.is_serving()
+            && process.admits_requests(now)
+            && !process.sends_going_away()
+            && !process.closes_partial_messages(now)
     );
-    assert!(life.closes(now, idle(true, true, LEAVING_IDLE_TIMEOUT)), "who was told to leave must not stay");
-    assert!(!life.closes(now, idle(false, true, LEAVING_IDLE_TIMEOUT)));
+    assert!(
+        process.closes(now, idle(true, true, LEAVING_IDLE_TIMEOUT)),
+        "a client that was told to leave is still disconnected"
+    );
+    assert!(!process.closes(now, idle(false, true, LEAVING_IDLE_TIMEOUT)));
 }
 
 #[test]
-fn a_successor_takes_over_and_its_death_before_the_end_gives_all_back() {
+fn a_process_stops_serving_while_its_successor_serves_and_resumes_if_the_successor_exits() {
     for (shared, standby) in [(true, false), (false, false), (true, true)] {
-        let mut life = serving();
+        let mut process = serving_process();
         if standby {
-            life.handle(T, Event::Standby).unwrap();
+            process.handle(T, Event::Standby).unwrap();
         }
-        let before = life.phase();
-        life.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
-        assert!(!life.is_serving() && life.is_ready() && life.sends_going_away(), "the doorman is ready");
-        assert_eq!(life.accepts_connections(), !shared, "what only this listener gets is taken");
-        assert!(life.admits_requests(T + 9 * SECOND) && !life.closes_partial_messages(T + 9 * SECOND));
-        assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Replaced));
-        assert_eq!(life.handle(T, Event::Active), Err(CallRefused::Replaced));
-        life.handle(T, Event::SuccessorEnded).unwrap();
-        assert_eq!((life.phase(), life.accepts_connections()), (before, true));
+        let before = process.phase();
+        process.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
+        assert!(
+            !process.is_serving() && process.is_ready() && process.sends_going_away(),
+            "the instance stays ready"
+        );
+        assert_eq!(
+            process.accepts_connections(),
+            !shared,
+            "connections in this process's own listen queue are accepted"
+        );
+        assert!(process.admits_requests(T + 9 * SECOND) && !process.closes_partial_messages(T + 9 * SECOND));
+        assert_eq!(process.handle(T, Event::Standby), Err(CallRefused::Replaced));
+        assert_eq!(process.handle(T, Event::Active), Err(CallRefused::Replaced));
+        process.handle(T, Event::SuccessorEnded).unwrap();
+        assert_eq!((process.phase(), process.accepts_connections()), (before, true));
     }
 }
 
 #[test]
-fn the_end_comes_when_nothing_is_owed_and_at_the_latest_in_time() {
-    let nothing = OpenWork::default();
-    let owed = OpenWork { unanswered: true, ..nothing };
-    let coming = OpenWork { incoming: true, ..nothing };
-    let mut life = serving();
-    life.handle(T, Event::Terminate { longest_deadline: 2 * SECOND }).unwrap();
-    assert_eq!(life.handle(T, Event::Active), Err(CallRefused::Stopping));
-    assert_eq!(life.handle(T, Event::Standby), Err(CallRefused::Stopping));
+fn a_stopping_process_exits_when_no_work_is_open_and_at_the_drain_deadline_at_the_latest() {
+    let no_work = OpenWork::default();
+    let unanswered = OpenWork { unanswered: true, ..no_work };
+    let incoming = OpenWork { incoming: true, ..no_work };
+    let mut process = serving_process();
+    process.handle(T, Event::Terminate { longest_deadline: 2 * SECOND }).unwrap();
+    assert_eq!(process.handle(T, Event::Active), Err(CallRefused::Stopping));
+    assert_eq!(process.handle(T, Event::Standby), Err(CallRefused::Stopping));
     assert!(
-        !life.is_ready()
-            && life.accepts_connections()
-            && life.admits_requests(T)
-            && !life.closes(T, idle(true, true, SECOND))
+        !process.is_ready()
+            && process.accepts_connections()
+            && process.admits_requests(T)
+            && !process.closes(T, idle(true, true, SECOND))
     );
-    assert!(!life.may_exit(T + LINGER - 1, nothing), "requests may still be on their way");
-    assert!(life.may_exit(T + LINGER, nothing));
+    assert!(!process.may_exit(T + MIN_DRAIN - 1, no_work), "requests may still be on their way");
+    assert!(process.may_exit(T + MIN_DRAIN, no_work));
     let stop = T + 2 * SECOND + DRAIN_MARGIN + DRAIN_FLUSH;
-    for held in [owed, coming] {
-        assert!(!life.may_exit(stop - 1, held) && life.may_exit(stop, held));
+    for open in [unanswered, incoming] {
+        assert!(!process.may_exit(stop - 1, open) && process.may_exit(stop, open));
     }
-    // A second SIGTERM does not put the end off, and a deadline of an hour counts as three seconds.
-    life.handle(T + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
-    assert_eq!(life.drain_deadline(), Some(stop - DRAIN_FLUSH));
-    let mut life = serving();
-    life.handle(T, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
-    assert_eq!(life.drain_deadline(), Some(T + MAX_DRAIN + DRAIN_MARGIN));
-    // Out of standby it ends as from anywhere else, and begins what still comes.
-    let mut life = serving();
-    life.handle(T, Event::Standby).unwrap();
-    life.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(life.admits_requests(T + 3 * SECOND) && !life.closes_partial_messages(T + 4 * SECOND));
-    assert!(!life.may_exit(T + 3 * SECOND, nothing) && life.may_exit(T + 3 * SECOND + LINGER, nothing));
-    // With a successor at the same queue nothing new comes: only its own connections are waited for.
-    let mut life = serving();
-    life.handle(T, Event::SuccessorServing { shares_listener: true }).unwrap();
-    life.handle(T, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(life.is_ready() && life.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT)));
+    // A second SIGTERM does not postpone the exit, and a deadline of an hour is capped at three seconds.
+    process.handle(T + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
+    assert_eq!(process.drain_deadline(), Some(stop - DRAIN_FLUSH));
+    let mut process = serving_process();
+    process.handle(T, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
+    assert_eq!(process.drain_deadline(), Some(T + MAX_DRAIN + DRAIN_MARGIN));
+    // A process in standby stops as one that serves does, and still admits new requests meanwhile.
+    let mut process = serving_process();
+    process.handle(T, Event::Standby).unwrap();
+    process.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
+    assert!(process.admits_requests(T + 3 * SECOND) && !process.closes_partial_messages(T + 4 * SECOND));
+    assert!(
+        !process.may_exit(T + 3 * SECOND, no_work) && process.may_exit(T + 3 * SECOND + MIN_DRAIN, no_work)
+    );
+    // With a successor on the same listen queue no new connection arrives: only the existing ones are waited for.
+    let mut process = serving_process();
+    process.handle(T, Event::SuccessorServing { shares_listener: true }).unwrap();
+    process.handle(T, Event::Terminate { longest_deadline: SECOND }).unwrap();
+    assert!(process.is_ready() && process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT)));
     assert!(
-        !life.closes(T, idle(true, false, LEAVING_IDLE_TIMEOUT)) && life.closes(T, idle(true, false, SECOND)),
-        "a first request may come"
+        !process.closes(T, idle(true, false, LEAVING_IDLE_TIMEOUT))
+            && process.closes(T, idle(true, false, SECOND)),
+        "a first request may still arrive"
     );
-    assert!(!life.may_exit(T, OpenWork { clients: true, ..nothing }) && life.may_exit(T, nothing));
+    assert!(!process.may_exit(T, OpenWork { clients: true, ..no_work }) && process.may_exit(T, no_work));
 }
 
 proptest! {
     #![proptest_config(crate::net::testing::config())]
 
-    /// Whatever happens in whatever order: what is taken is also accepted and begun; a process that is to end
-    /// does, in bounded time, and never takes clients again; after the last `active` one that is neither
-    /// replaced nor stopping serves.
+    /// For any order of events: a serving process accepts connections and admits requests; a process that was told to
+    /// terminate exits in bounded time and never serves again; `active` makes a process serve that is neither replaced
+    /// nor stopping.
     #[test]
-    fn any_order_of_events_keeps_the_phases_apart(steps in prop::collection::vec((0u8..7, 0u64..3_000_000), 1..40)) {
-        let (mut life, mut now, mut ends) = (Lifecycle::default(), T, None::<Micros>);
-        life.handle(now, Event::EndpointsListed(true)).unwrap();
-        for (what, wait) in steps {
+    fn lifecycle_invariants_hold_for_any_order_of_events(steps in prop::collection::vec((0u8..7, 0u64..3_000_000), 1..40)) {
+        let (mut process, mut now, mut exit_by) = (Lifecycle::default(), T, None::<Micros>);
+        process.handle(now, Event::EndpointsListed(true)).unwrap();
+        for (kind, wait) in steps {
             now += wait;
-            let event = match what {
+            let event = match kind {
                 0 | 1 => Event::Standby,
                 2 | 3 => Event::Active,
                 4 => Event::SuccessorServing { shares_listener: wait % 2 == 0 },
                 5 => Event::SuccessorEnded,
                 _ => Event::Terminate { longest_deadline: 3 * SECOND },
             };
-            let before = life.phase();
-            let taken = life.handle(now, event);
-            if taken.is_err() {
-                prop_assert_eq!(life.phase(), before);
+            let before = process.phase();
+            let handled = process.handle(now, event);
+            if handled.is_err() {
+                prop_assert_eq!(process.phase(), before);
             }
             if let Event::Terminate { .. } = event {
-                ends.get_or_insert(now + MAX_DRAIN + DRAIN_MARGIN + DRAIN_FLUSH);
+                exit_by.get_or_insert(now + MAX_DRAIN + DRAIN_MARGIN + DRAIN_FLUSH);
             }
-            if event == Event::Active && taken.is_ok() {
-                prop_assert!(life.is_serving());
+            if event == Event::Active && handled.is_ok() {
+                prop_assert!(process.is_serving());
             }
-            if life.is_serving() {
-                prop_assert!(life.accepts_connections() && life.admits_requests(now) && life.is_ready() && !life.sends_going_away());
+            if process.is_serving() {
+                prop_assert!(process.accepts_connections() && process.admits_requests(now) && process.is_ready() && !process.sends_going_away());
             }
-            let held = OpenWork { unanswered: true, incoming: true, clients: true };
-            match ends {
-                Some(end) => {
-                    prop_assert!(!life.is_serving());
-                    prop_assert_eq!(life.may_exit(now, held), now >= end);
+            let all_work = OpenWork { unanswered: true, incoming: true, clients: true };
+            match exit_by {
+                Some(deadline) => {
+                    prop_assert!(!process.is_serving());
+                    prop_assert_eq!(process.may_exit(now, all_work), now >= deadline);
                 }
-                None => prop_assert!(!life.may_exit(now, OpenWork::default())),
+                None => prop_assert!(!process.may_exit(now, OpenWork::default())),
             }
         }
     }
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A process between its start and its end, and the retries of a step of the start.
+//! Pins the decisions of a process's lifecycle and of the retries of a startup step by digests of random runs.
 
 use crate::digest::{expect, Digest};
 use larchdale::lifecycle::startup::{Cause, Retries};
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1_000;
 
-fn event(rng: &mut Pcg32) -> Event {
+fn random_event(rng: &mut Pcg32) -> Event {
     match rng.random_range(0..24) {
         0..6 => Event::EndpointsListed(rng.random_ratio(4, 5)),
         6..10 => Event::Standby,
@@ -22,7 +22,7 @@
     }
 }
 
-fn write(rng: &mut Pcg32, digest: &mut Digest, process: &Lifecycle, now: Micros) {
+fn digest_answers(rng: &mut Pcg32, digest: &mut Digest, process: &Lifecycle, now: Micros) {
     digest.tag(match process.phase() {
         Phase::Starting => 1,
         Phase::Serving => 2,
@@ -46,25 +46,25 @@
             ),
         );
     }
-    let mut coin = || rng.random_ratio(1, 3);
-    let held = OpenWork { unanswered: coin(), incoming: coin(), clients: coin() };
-    digest.flag(process.may_exit(now, held));
+    let mut random_flag = || rng.random_ratio(1, 3);
+    let open = OpenWork { unanswered: random_flag(), incoming: random_flag(), clients: random_flag() };
+    digest.flag(process.may_exit(now, open));
 }
 
-fn play(seed: u64) -> u64 {
+fn run(seed: u64) -> u64 {
     let (mut rng, mut digest) = (Pcg32::seed_from_u64(seed), Digest::new());
     for _ in 0..300 {
         let (mut process, mut now) = (Lifecycle::default(), 1_000 * MS);
         for _ in 0..40 {
             now += rng.random_range(0..1_500) * MS;
             if rng.random_ratio(1, 3) {
-                let refused = process.handle(now, event(&mut rng)).err();
+                let refused = process.handle(now, random_event(&mut rng)).err();
                 digest.option(refused, |digest, refused| match refused {
                     CallRefused::Replaced => digest.tag(1),
                     CallRefused::Stopping => digest.tag(2),
                 });
             }
-            write(&mut rng, &mut digest, &process, now);
+            digest_answers(&mut rng, &mut digest, &process, now);
         }
         let mut retries = Retries::new(now);
         for _ in 0..30 {
@@ -83,6 +83,6 @@
 }
 
 #[test]
-fn a_process_decides_as_before() {
-    expect("the lifecycle of a process", play, &[0x232e9c78f10eecd6, 0x89b72f49c950998d]);
+fn lifecycle_decisions_match_the_recorded_digests() {
+    expect("the lifecycle of a process", run, &[0x232e9c78f10eecd6, 0x89b72f49c950998d]);
 }
