--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -1,9 +1,10 @@
-//! Unix timestamps that others give, as moments of this process's monotonic clock.
+//! Converts Unix timestamps from other machines to times of this process's monotonic clock.
 //!
-//! This machine's wall clock may be wrong when the process starts, or be stepped; so may theirs. What an age is used
-//! for decides which error does harm: a server in slow start, or a purge, must not seem older than it is; a copy must
-//! not seem younger. So an age is judged by two measures, the wall clock as it was at the start and the timestamps
-//! that came so far, and the harmless one counts. No input or output, no clock.
+//! The wall clocks of this machine and of the senders may be wrong when the process starts, or be stepped later. Which
+//! error does harm depends on the use of an age: a server in slow start or a purge must not seem older than it is, and
+//! a cached copy must not seem younger. An age is therefore estimated twice, from the wall clock at startup and from
+//! the timestamps received so far, and the estimate that can do no harm is used. The module does no I/O and reads no
+//! clock.
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
 #[cfg(test)]
@@ -14,100 +15,105 @@
 use std::num::NonZeroUsize;
 
 const MS: i64 = 1_000;
-/// A start that is told as it happens is at most so old: lists run some seconds late.
-const LATEST_START: Micros = 10_000_000;
-/// Starts that are remembered, one for each server; the one not told of for longest goes.
-const REMEMBERED: usize = 65_536;
-/// A timestamp of something past that is so far ahead of the wall clock shows that the wall clock is behind.
-const AHEAD: i64 = 1_000 * MS;
-/// One copy that shows it, where no event does, is believed for so long: its timestamp may be spoilt.
-const DOUBTED_FOR: Micros = 60_000_000;
+/// Maximum age of a server start that is reported as an update: endpoint lists lag by some seconds.
+const MAX_REPORT_DELAY: Micros = 10_000_000;
+/// Maximum number of server starts that are remembered, one for each server; the least recently used is evicted.
+const MAX_STARTS: usize = 65_536;
+/// A timestamp of a past event that is this far ahead of the wall clock, in microseconds, shows that the wall clock is
+/// behind.
+const WALL_CLOCK_TOLERANCE: i64 = 1_000 * MS;
+/// Time for which the wall clock is distrusted after the timestamp of one copy, but no event, showed it to be behind.
+/// Limited because that timestamp may be corrupt.
+const DISTRUST_TIME: Micros = 60_000_000;
 
-/// How the timestamp of a start came.
+/// How the timestamp of a server start was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartReport {
-    /// Among what held before this process listened.
+    /// In the state that held before this process received updates.
     Initial,
-    /// As an event; nothing had been heard for so long before it.
+    /// As an update, after a silence of this many microseconds.
     AfterSilence(Micros),
 }
 
-/// Turns timestamps into moments.
+/// Converts Unix timestamps to times of the monotonic clock.
 #[derive(Debug)]
 pub struct Timestamps {
-    /// Unix microseconds at the clock's zero, by the wall clock at the start.
-    wall: i64,
-    /// The same, no less than this, by what the events told.
-    events: Option<i64>,
-    /// Until when a copy's timestamp has the wall clock in doubt.
-    doubted_until: Micros,
+    /// Unix time at the zero of the monotonic clock, in microseconds, by the wall clock at startup.
+    wall_offset: i64,
+    /// Lower bound of the same, by the timestamps of events.
+    event_offset: Option<i64>,
+    /// Time until which the wall clock is distrusted because of the timestamp of a copy.
+    distrusted_until: Micros,
+    /// The Unix millisecond of each server's start as last reported, and the time that was derived from it.
     starts: LruCache<Id, (u64, Micros)>,
 }
 
 impl Timestamps {
-    /// With the Unix microseconds that the wall clock showed when the monotonic clock stood at `now`.
+    /// Creates a converter from the Unix microseconds that the wall clock showed when the monotonic clock stood at
+    /// `now`.
     pub fn new(now: Micros, unix_micros: u64) -> Self {
-        let wall = signed(unix_micros).saturating_sub(signed(now));
-        let remembered = NonZeroUsize::new(REMEMBERED).unwrap_or(NonZeroUsize::MIN);
+        let wall_offset = signed(unix_micros).saturating_sub(signed(now));
+        let capacity = NonZeroUsize::new(MAX_STARTS).unwrap_or(NonZeroUsize::MIN);
         let mut starts = LruCache::unbounded();
-        starts.resize(remembered);
-        Timestamps { wall, events: None, doubted_until: 0, starts }
+        starts.resize(capacity);
+        Timestamps { wall_offset, event_offset: None, distrusted_until: 0, starts }
     }
 
-    /// Notes a timestamp of an event, which lies in the past whatever the wall clock says.
-    fn note(&mut self, now: Micros, unix_ms: u64) {
-        let zero = micros(unix_ms).saturating_sub(signed(now));
-        self.events = self.events.max(Some(zero));
+    /// Updates the event offset by the timestamp of an event, which lies in the past whatever the wall clock says.
+    fn note_event(&mut self, now: Micros, unix_ms: u64) {
+        let offset = micros(unix_ms).saturating_sub(signed(now));
+        self.event_offset = self.event_offset.max(Some(offset));
     }
 
-    /// The Unix millisecond of a moment, no later than it can be.
+    /// Returns the Unix time of `at` in milliseconds, by the offset that yields the earlier time.
     pub fn unix_ms(&self, at: Micros) -> u64 {
-        let zero = self.events.unwrap_or(self.wall).min(self.wall);
-        unsigned(zero.saturating_add(signed(at))) / 1_000
+        let offset = self.event_offset.unwrap_or(self.wall_offset).min(self.wall_offset);
+        unsigned(offset.saturating_add(signed(at))) / 1_000
     }
 
-    /// The moment of an event that is heard now: never in the future, and no earlier than it can have been.
+    /// Returns the time of an event that is received now: never in the future, and no earlier than either offset allows.
     pub fn event(&mut self, now: Micros, unix_ms: u64) -> Micros {
-        self.note(now, unix_ms);
-        let events = self.events.unwrap_or(self.wall);
-        let moment = micros(unix_ms).saturating_sub(self.wall.min(events));
-        unsigned(moment).min(now)
+        self.note_event(now, unix_ms);
+        let event_offset = self.event_offset.unwrap_or(self.wall_offset);
+        let time = micros(unix_ms).saturating_sub(self.wall_offset.min(event_offset));
+        unsigned(time).min(now)
     }
 
-    /// The moment at which a server started; 0, which means long ago, where its record tells no start.
-    /// Guards slow start: a start keeps the moment that it was first given, and one that can't be is now.
-    pub fn start(&mut self, now: Micros, server: &Id, unix_ms: u64, heard: StartReport) -> Micros {
+    /// Returns the time at which a server started, or 0, which means long ago, if its record has no start time.
+    /// Guards slow start: a start keeps the time that was first derived for it, and an implausibly old one counts as
+    /// `now`.
+    pub fn start(&mut self, now: Micros, server: &Id, unix_ms: u64, report: StartReport) -> Micros {
         if unix_ms == 0 {
             return 0;
         }
         let known = self.starts.get(server).copied();
-        if let Some((_, moment)) = known.filter(|(known_ms, _)| *known_ms == unix_ms) {
-            return moment;
+        if let Some((_, time)) = known.filter(|(known_ms, _)| *known_ms == unix_ms) {
+            return time;
         }
-        let told = self.event(now, unix_ms);
+        let reported = self.event(now, unix_ms);
         let goes_back = known.is_some_and(|(known_ms, _)| unix_ms < known_ms);
-        let too_old = match heard {
+        let too_old = match report {
             StartReport::Initial => false,
             StartReport::AfterSilence(silence) => {
-                now.saturating_sub(told) > LATEST_START.saturating_add(silence)
+                now.saturating_sub(reported) > MAX_REPORT_DELAY.saturating_add(silence)
             }
         };
-        let moment = if goes_back || too_old { now } else { told };
-        self.starts.put(server.clone(), (unix_ms, moment));
-        moment
+        let time = if goes_back || too_old { now } else { reported };
+        self.starts.put(server.clone(), (unix_ms, time));
+        time
     }
 
-    /// The moment at which a copy was made, no later than it can have been; 0, which means long ago, where the wall
-    /// clock is seen to be behind: how far, nothing tells.
+    /// Returns the time at which a copy was made, no later than the wall clock at startup allows; or 0, which means long
+    /// ago, if the wall clock is known to be behind by an unknown amount.
     pub fn copy(&mut self, now: Micros, unix_ms: u64) -> Micros {
-        let shows = |zero: i64| zero.saturating_sub(self.wall) > AHEAD;
-        if shows(micros(unix_ms).saturating_sub(signed(now))) {
-            self.doubted_until = now.saturating_add(DOUBTED_FOR);
+        let is_ahead = |offset: i64| offset.saturating_sub(self.wall_offset) > WALL_CLOCK_TOLERANCE;
+        if is_ahead(micros(unix_ms).saturating_sub(signed(now))) {
+            self.distrusted_until = now.saturating_add(DISTRUST_TIME);
         }
-        if self.events.is_some_and(shows) || now < self.doubted_until {
+        if self.event_offset.is_some_and(is_ahead) || now < self.distrusted_until {
             return 0;
         }
-        unsigned(micros(unix_ms).saturating_sub(self.wall)).min(now)
+        unsigned(micros(unix_ms).saturating_sub(self.wall_offset)).min(now)
     }
 }
 
