--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,4 +1,4 @@
-//! What follows from an accept that fails.
+//! Classification of the errors of `accept`.
 
 #[cfg(test)]
 mod tests;
@@ -6,8 +6,8 @@
 use rustix::io::Errno;
 use std::io::{self, ErrorKind};
 
-/// Errors by which Linux tells, at the accept, what became of the one connection that was next.
-const OF_ONE_CONNECTION: [Errno; 11] = [
+/// Errors by which Linux reports at `accept` that the next pending connection has failed.
+const CONNECTION_ERRORS: [Errno; 11] = [
     Errno::CONNABORTED,
     Errno::INTR,
     Errno::PROTO,
@@ -21,31 +21,31 @@
     Errno::PERM,
 ];
 
-/// What follows.
+/// The classes of accept errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nobody waits any more.
+    /// No connection is pending.
     Empty,
-    /// That one connection is gone; the next may be taken.
+    /// The connection that was next has failed; the one after it may be accepted.
     ConnectionLost,
-    /// There is no descriptor: one must be freed first.
+    /// The descriptor limit is reached: a descriptor must be freed first.
     NoDescriptor,
-    /// The system has no room: later.
+    /// The system lacks another resource: accept is to be retried later.
     NoResources,
 }
 
-/// Judges an error of accept.
+/// Classifies an error of `accept`.
 pub fn failure(error: &io::Error) -> Failure {
     let is = |codes: &[Errno]| codes.iter().any(|c| error.raw_os_error() == Some(c.raw_os_error()));
     match error.kind() {
         ErrorKind::WouldBlock => Failure::Empty,
-        _ if is(&OF_ONE_CONNECTION) => Failure::ConnectionLost,
+        _ if is(&CONNECTION_ERRORS) => Failure::ConnectionLost,
         _ if is_out_of_descriptors(error) => Failure::NoDescriptor,
         _ => Failure::NoResources,
     }
 }
 
-/// Whether a socket could not be had for want of descriptors.
+/// Whether an error means that the limit of descriptors of the process or of the system is reached.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     let code = error.raw_os_error();
     [Errno::MFILE, Errno::NFILE].iter().any(|e| code == Some(e.raw_os_error()))
--- a/src/net/accept/tests.rs
+++ b/src/net/accept/tests.rs
@@ -1,13 +1,13 @@
-//! What follows from each error of accept.
+//! Classification of each documented error of `accept`.
 
 use super::*;
 
-/// Guards idle connections, which were let go for errors that no descriptor would have mended.
+/// Guards against closing idle connections for errors that a freed descriptor does not fix.
 #[test]
-fn each_error_that_linux_documents_has_its_consequence() {
+fn each_documented_accept_error_is_classified() {
     let of = |errno: Errno| failure(&io::Error::from_raw_os_error(errno.raw_os_error()));
-    for one in OF_ONE_CONNECTION {
-        assert_eq!(of(one), Failure::ConnectionLost, "{one:?}");
+    for errno in CONNECTION_ERRORS {
+        assert_eq!(of(errno), Failure::ConnectionLost, "{errno:?}");
     }
     assert_eq!((of(Errno::AGAIN), of(Errno::MFILE)), (Failure::Empty, Failure::NoDescriptor));
     assert_eq!(of(Errno::NFILE), Failure::NoDescriptor);
--- a/src/net/bounds.rs
+++ b/src/net/bounds.rs
@@ -1,4 +1,4 @@
-//! How many connections and bytes one process may hold: bounds that follow from the limits of the configuration.
+//! Maximum numbers of connections and buffered bytes of one process, derived from the limits of the configuration.
 
 #[cfg(test)]
 mod tests;
@@ -6,50 +6,52 @@
 use crate::admin::PLACES;
 use crate::config::platform::Limits;
 
-/// Descriptors kept back for what is neither a client's nor an upstream's: the standard streams, the poll, the signals,
-/// the listener, the command channel, the configuration file; and a few for what comes and goes.
+/// Descriptors reserved for everything besides client and upstream connections: the standard streams, the poll, the
+/// signals, the listener, the command channel, the configuration file, and some for short-lived files and sockets.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Kept back besides where there is an admin endpoint: its listener, its connections, one more that is just being
-/// accepted; and what two processes of one instance talk by: a listener, two connections to it, the predecessor.
+/// Descriptors reserved additionally if there is an admin endpoint: its listener, its connections, one more that is
+/// just being accepted; and for a takeover: a listener, two connections to it, and the connection to the predecessor.
 const ADMIN_DESCRIPTORS: usize = PLACES + 6;
-/// One of so many descriptors may be a connection to an upstream. Clients that behave hold a third at most.
+/// Divisor of the descriptors for upstream connections. Well-behaved clients use a third of the descriptors at most.
 const UPSTREAM_DIVISOR: usize = 3;
-/// One of so many client connections may be one that never sent a whole message.
+/// Divisor of the client connections for those that never sent a complete message.
 const SILENT_DIVISOR: usize = 4;
-/// One of so many client connections is kept back for ones that have been finished and not closed yet.
+/// Divisor of the client connections for those that were finished but are not closed yet.
 const CLOSING_DIVISOR: usize = 8;
-/// The most that are kept back for those.
+/// Maximum number of connections reserved for those that were finished but are not closed yet.
 const MAX_CLOSING: usize = 16;
-/// The divisor of the memory for what is read from clients or waits to be written to them.
+/// Divisor of the memory for the read and write buffers of client connections.
 const CLIENT_BUFFERS_DIVISOR: usize = 4;
-/// The divisor of the memory for bodies of requests.
+/// Divisor of the memory for request bodies.
 const BODIES_DIVISOR: usize = 8;
-/// The divisor of the memory for the local cache.
+/// Divisor of the memory for the local cache.
 const LOCAL_CACHE_DIVISOR: usize = 8;
-/// Fewer than this of either kind of connection serve nobody.
+/// Minimum number of client connections and of upstream connections; fewer are of no use.
 const MIN_CONNECTIONS: usize = 4;
 
-/// The bounds of one process.
+/// Resource bounds of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Client connections; beyond, the least useful one is closed.
+    /// Maximum number of client connections; beyond it, the least useful one is closed.
     pub clients: usize,
-    /// Those among them that never sent a whole message; beyond, the oldest is closed.
+    /// Maximum number of client connections that never sent a complete message; beyond it, the oldest is closed.
     pub silent_clients: usize,
-    /// Client connections that were finished and are not closed yet, besides; beyond, the oldest is dropped.
+    /// Maximum number of further client connections that were finished but are not closed yet; beyond it, the oldest is
+    /// dropped.
     pub closing: usize,
-    /// Connections to upstreams.
+    /// Maximum number of upstream connections.
     pub upstream: usize,
-    /// Bytes buffered for all client connections together; beyond, the one with the most is dropped.
+    /// Maximum number of bytes buffered for all client connections; beyond it, the connection with the most is dropped.
     pub client_buffers: usize,
-    /// Bytes of bodies of active requests together; beyond, requests are rejected.
+    /// Maximum number of body bytes of all active requests; beyond it, requests are rejected.
     pub request_bodies: usize,
-    /// Bytes of the local cache; beyond, what is used least is evicted.
+    /// Maximum number of bytes in the local cache; beyond it, the least used entries are evicted.
     pub local_cache: usize,
 }
 
 impl Bounds {
-    /// The bounds by these limits. `has_admin`: there is an admin endpoint; `is_shared`: two processes share the limits.
+    /// Derives the bounds from `limits`. `has_admin` says whether there is an admin endpoint, `is_shared` whether two
+    /// processes share the limits.
     pub fn of(limits: &Limits, has_admin: bool, is_shared: bool) -> Self {
         let processes = 1 + usize::from(is_shared);
         let reserved = RESERVED_DESCRIPTORS + if has_admin { ADMIN_DESCRIPTORS } else { 0 };
--- a/src/net/bounds/tests.rs
+++ b/src/net/bounds/tests.rs
@@ -1,29 +1,32 @@
-//! The bounds of one process and of two, by the limits of machines.
+//! Bounds of one process and of two that share the limits of a machine.
 
 use super::*;
 
-/// Guards against bounds made for a large machine on a small one.
+/// Guards against bounds on a small machine that only fit a large one.
 #[test]
-fn bounds_follow_the_limits_and_leave_room_for_all_that_is_open() {
+fn the_bounds_of_one_process_fit_its_limits() {
     for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 192)] {
         let limits = Limits { sockets, memory_mb };
         let bounds = Bounds::of(&limits, false, false);
         assert!(bounds.clients + bounds.closing + bounds.upstream + RESERVED_DESCRIPTORS <= sockets);
-        assert!(bounds.clients - bounds.silent_clients > sockets / 3, "clients that behave have room");
+        assert!(
+            bounds.clients - bounds.silent_clients > sockets / 3,
+            "well-behaved clients have enough connections"
+        );
         assert!(bounds.client_buffers + bounds.request_bodies + bounds.local_cache <= memory_mb << 19);
     }
 }
 
-/// Also where they are halved, and where two processes share what is left.
+/// Guards against two processes with admin endpoints that exceed the shared limits during a takeover.
 #[test]
-fn two_processes_with_doors_keep_within_the_limits_of_one() {
+fn the_bounds_of_two_processes_with_admin_endpoints_fit_the_limits_of_one() {
     for (sockets, memory_mb) in [(128, 16), (192, 24), (384, 48), (1024, 192)] {
         let limits = Limits { sockets, memory_mb };
-        for (beside, processes) in [(false, 1), (true, 2)] {
-            let bounds = Bounds::of(&limits, true, beside);
-            let held =
+        for (is_shared, processes) in [(false, 1), (true, 2)] {
+            let bounds = Bounds::of(&limits, true, is_shared);
+            let descriptors =
                 bounds.clients + bounds.closing + bounds.upstream + RESERVED_DESCRIPTORS + ADMIN_DESCRIPTORS;
-            assert!(processes * held <= sockets, "{sockets} {beside}: {bounds:?}");
+            assert!(processes * descriptors <= sockets, "{sockets} {is_shared}: {bounds:?}");
             assert!(
                 processes * (bounds.client_buffers + bounds.request_bodies + bounds.local_cache)
                     <= memory_mb << 19
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! Time: whole microseconds of the monotonic clock, and one offset from it to Unix time.
+//! The monotonic clock in whole microseconds, and its offset to Unix time.
 
 #[cfg(test)]
 mod tests;
@@ -7,8 +7,8 @@
 use crate::timestamps::Timestamps;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the clock stands at the start. Not 0, so that moments before the start have a value as well.
-const AT_START: Micros = 1_000_000_000_000;
+/// Value of the clock at startup. Not 0, so that times before startup can be represented as well.
+const START_TIME: Micros = 1_000_000_000_000;
 
 /// The clock of one process.
 #[derive(Clone, Copy, Debug)]
@@ -18,24 +18,24 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts the clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_at_start: unix.as_micros() as Micros }
     }
 
-    /// The time; read once a turn of the loop.
+    /// Returns the current time. Read once in each iteration of the event loop.
     pub fn now(&self) -> Micros {
-        AT_START + self.start.elapsed().as_micros() as Micros
+        START_TIME + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The Unix millisecond of a moment.
+    /// Returns the Unix time of `at` in milliseconds.
     pub fn unix_ms(&self, at: Micros) -> u64 {
-        (at + self.unix_at_start).saturating_sub(AT_START) / 1000
+        (at + self.unix_at_start).saturating_sub(START_TIME) / 1000
     }
 
-    /// The Unix timestamps that others give, judged by this clock.
+    /// Creates a converter of other machines' Unix timestamps to times of this clock.
     pub fn timestamps(&self) -> Timestamps {
-        Timestamps::new(AT_START, self.unix_at_start)
+        Timestamps::new(START_TIME, self.unix_at_start)
     }
 }
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,14 +1,14 @@
-//! The listener for clients. Where a second process may come to stand beside this one, both can listen.
+//! The listener for clients. During a takeover two processes of one instance can listen at the same address.
 
 use mio::net::TcpListener;
 use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections that may wait to be taken; the system caps it further.
-const WAITING: i32 = 4096;
+/// Maximum number of pending connections; the system may cap it further.
+const LISTEN_BACKLOG: i32 = 4096;
 
-/// Listens; `shared`: in a way that another process of the same user may listen at the same address as well.
+/// Listens at `address`. If `shared`, another process of the same user may listen at the same address as well.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     if !shared {
         return TcpListener::bind(address);
@@ -19,6 +19,6 @@
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
     rustix::net::bind(&socket, &address)?;
-    rustix::net::listen(&socket, WAITING)?;
+    rustix::net::listen(&socket, LISTEN_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into()))
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets without the proxy: the event loop, connections and their pool, the command channel, and the codecs of the
-//! three protocols. Nothing here decides where a request goes.
+//! Networking below the proxy: the event loop, connections and their pool, the command channel, and the codecs of the
+//! three protocols. Routing decisions are made elsewhere.
 
 pub mod accept;
 pub mod bounds;
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,4 +1,4 @@
-//! Steps of the start that the system refuses for a moment are tried again.
+//! Retries of startup steps that fail with a transient error.
 
 use super::clock::Clock;
 use crate::lifecycle::startup::{Cause, Retries};
@@ -6,7 +6,7 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Errors that Linux documents for what may work in a moment.
+/// Errors that Linux documents for conditions that may pass soon.
 const TRANSIENT_ERRORS: [Errno; 9] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -19,7 +19,7 @@
     Errno::NETUNREACH,
 ];
 
-/// Why a step failed.
+/// Classifies the error of a startup step.
 pub fn cause(error: &io::Error) -> Cause {
     let code = error.raw_os_error();
     if TRANSIENT_ERRORS.iter().any(|e| code == Some(e.raw_os_error())) {
@@ -31,11 +31,12 @@
     }
 }
 
-/// Makes a step of the start, again and again while what it fails for may pass.
+/// Runs a startup step, and retries it while its error may be transient. `report` is called with the first error that
+/// is retried.
 ///
 /// # Errors
-/// That of the last try; or one of the kind [`ErrorKind::Interrupted`] once `is_ending` says that the process is to
-/// end.
+/// Returns the error of the last attempt, or one of the kind [`ErrorKind::Interrupted`] after a pause in which
+/// `is_ending` became true because the process was told to terminate.
 pub fn retry_step<T>(
     clock: &Clock,
     is_ending: &dyn Fn() -> bool,
@@ -56,7 +57,10 @@
         }
         std::thread::sleep(Duration::from_micros(pause));
         if is_ending() {
-            return Err(io::Error::new(ErrorKind::Interrupted, "told to end before it had started"));
+            return Err(io::Error::new(
+                ErrorKind::Interrupted,
+                "terminated by a signal before startup was complete",
+            ));
         }
     }
 }
