--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -1,6 +1,6 @@
-//! What a turn of the loop waits for: readiness of sockets, timers and signals.
+//! The event loop: readiness of sockets, timers and signals.
 //!
-//! The proxy and the tools of the command line own one each; sockets are registered here under tokens.
+//! The proxy and the command-line tools own one loop each; sockets are registered in it under tokens.
 
 #[cfg(test)]
 mod tests;
@@ -17,38 +17,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Token of the signals' pipe.
+/// Token of the signal pipe.
 pub const SIGNALS: Token = Token(0);
-/// The first token of sockets.
+/// First token given to a socket.
 const FIRST_SOCKET: usize = 1;
-/// Events taken by one poll.
+/// Maximum number of events returned by one poll.
 const EVENTS_PER_POLL: usize = 512;
-/// Polls of one wait: together they report more sockets than a process has descriptors.
+/// Maximum number of polls in one wait: together they report more sockets than a process has descriptors.
 const MAX_POLLS_PER_WAIT: usize = 16;
 
-/// Timers of any kind, in order of their time and, within one moment, of their setting.
+/// Timers ordered by their due time, and by the order in which they were set if they are due at the same time.
 #[derive(Debug)]
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<(Micros, u64, Slot<T>)>>,
-    set: u64,
+    heap: BinaryHeap<Reverse<(Micros, u64, Unordered<T>)>>,
+    set_count: u64,
 }
 
-/// Carries a timer's meaning through the heap without taking part in the order.
+/// The payload of a timer, which is ignored by the order of the heap.
 #[derive(Debug)]
-struct Slot<T>(T);
+struct Unordered<T>(T);
 
-impl<T> PartialEq for Slot<T> {
+impl<T> PartialEq for Unordered<T> {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl<T> Eq for Slot<T> {}
-impl<T> PartialOrd for Slot<T> {
+impl<T> Eq for Unordered<T> {}
+impl<T> PartialOrd for Unordered<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Slot<T> {
+impl<T> Ord for Unordered<T> {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
@@ -56,61 +56,61 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), set_count: 0 }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer. None can be cancelled: who gets one must see whether it still means anything.
-    pub fn set(&mut self, at: Micros, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, Slot(what))));
+    /// Sets a timer. Timers can't be cancelled: the receiver of a due one must check whether it still applies.
+    pub fn set(&mut self, at: Micros, payload: T) {
+        self.set_count += 1;
+        self.heap.push(Reverse((at, self.set_count, Unordered(payload))));
     }
 
-    /// The next timer that is due, with its time.
+    /// Removes and returns the next due timer with its due time, if there is one.
     pub fn due(&mut self, now: Micros) -> Option<(Micros, T)> {
         self.heap.peek().filter(|t| t.0 .0 <= now)?;
-        self.heap.pop().map(|Reverse((at, _, what))| (at, what.0))
+        self.heap.pop().map(|Reverse((at, _, payload))| (at, payload.0))
     }
 
-    /// How many are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 
-    /// All that are set, in no order.
+    /// Iterates over the payloads of all timers, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
-        self.heap.iter().map(|Reverse((_, _, what))| &what.0)
+        self.heap.iter().map(|Reverse((_, _, payload))| &payload.0)
     }
 
-    /// When the next one is due.
+    /// Returns the due time of the next timer.
     pub fn next(&self) -> Option<Micros> {
         self.heap.peek().map(|t| t.0 .0)
     }
 }
 
-/// What became ready.
+/// Readiness of one socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Whose it is.
+    /// Token of the socket.
     pub token: Token,
-    /// There is something to read, or an end.
+    /// Whether there may be bytes, an end of stream or an error to read.
     pub readable: bool,
-    /// There is room to write, or a dial has ended.
+    /// Whether the socket can be written to, or a dial has completed or failed.
     pub writable: bool,
-    /// The peer writes nothing more: what it has written may still be there to read.
+    /// Whether the peer has shut down its writing side; bytes that it wrote before may still be unread.
     pub ended: bool,
 }
 
-/// Decides for each socket that is to be registered whether the poll refuses it, and with what error.
+/// Fault injection: returns for each socket to be registered the error with which the registration fails, if any.
 pub type RegistrationFaults = Box<dyn FnMut() -> Option<io::Error>>;
 
-/// The poll with the tokens and the signals.
+/// The poll with its tokens and signals.
 pub struct EventLoop {
     poll: Poll,
     events: Events,
@@ -120,7 +120,7 @@
     registration_faults: Option<RegistrationFaults>,
 }
 
-/// The signals received so far. They are registered in the first moment of a process, before there is a loop.
+/// Flags of the signals received so far. They are registered as the first step of a process, before there is a loop.
 #[derive(Clone, Debug)]
 pub struct SignalFlags {
     shutdown: Arc<AtomicBool>,
@@ -128,10 +128,10 @@
 }
 
 impl SignalFlags {
-    /// Receives SIGTERM, SIGINT and SIGHUP from now on.
+    /// Registers handlers of SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// The system refuses a handler.
+    /// Returns the system's error if a handler can't be registered.
     pub fn register() -> io::Result<Self> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         let flags = SignalFlags { shutdown: Arc::default(), reload: Arc::default() };
@@ -142,61 +142,62 @@
         Ok(flags)
     }
 
-    /// Whether SIGTERM or SIGINT has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub fn is_shutdown_requested(&self) -> bool {
         self.shutdown.load(Ordering::SeqCst)
     }
 }
 
-/// The signals since they were last taken.
+/// Signals received since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Signals {
-    /// SIGTERM or SIGINT has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub shutdown: bool,
-    /// SIGHUP has come: the configuration is to be read again.
+    /// Whether SIGHUP was received: the configuration is to be reloaded.
     pub reload: bool,
 }
 
 impl EventLoop {
-    /// A loop that is woken by SIGTERM, SIGINT and SIGHUP.
+    /// Creates a loop that SIGTERM, SIGINT and SIGHUP wake.
     ///
     /// # Errors
-    /// The system refuses the poll, its pipe or a handler.
+    /// Returns the system's error if the poll, its signal pipe or a handler can't be created.
     pub fn new() -> io::Result<Self> {
         EventLoop::with(SignalFlags::register()?)
     }
 
-    /// A loop that is woken by the signals of these flags.
+    /// Creates a loop that is woken by the signals of `flags`.
     ///
     /// # Errors
-    /// The system refuses the poll, its pipe or a handler.
+    /// Returns the system's error if the poll, its signal pipe or a handler can't be created.
     pub fn with(flags: SignalFlags) -> io::Result<Self> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         let poll = Poll::new()?;
-        let (ours, theirs) = std::os::unix::net::UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
-        theirs.set_nonblocking(true)?;
-        let wakers = [(SIGTERM, theirs.try_clone()?), (SIGINT, theirs.try_clone()?), (SIGHUP, theirs)];
+        let (read_end, write_end) = std::os::unix::net::UnixStream::pair()?;
+        read_end.set_nonblocking(true)?;
+        write_end.set_nonblocking(true)?;
+        let wakers =
+            [(SIGTERM, write_end.try_clone()?), (SIGINT, write_end.try_clone()?), (SIGHUP, write_end)];
         for (signal, waker) in wakers {
-            // After the flags, which are set by the time that the pipe wakes the loop.
+            // Registered after the flags, so that the flags are set when the pipe wakes the loop.
             signal_hook::low_level::pipe::register(signal, waker)?;
         }
-        let mut signals = UnixStream::from_std(ours);
+        let mut signals = UnixStream::from_std(read_end);
         poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
         let events = Events::with_capacity(EVENTS_PER_POLL);
         Ok(EventLoop { poll, events, next_token: FIRST_SOCKET, signals, flags, registration_faults: None })
     }
 
-    /// The flags of its signals; what was taken is no longer set.
+    /// Returns the flags of the loop's signals; the flag of a signal that was taken is no longer set.
     pub fn flags(&self) -> SignalFlags {
         self.flags.clone()
     }
 
-    /// Watches a socket under a token that was never used before, so that events of a closed one can't be
-    /// taken for those of its successor.
+    /// Registers a socket under a token that was never used before, so that events of a closed socket can't be mistaken
+    /// for events of a later one.
     ///
     /// # Errors
-    /// The poll refuses the socket.
+    /// Returns the poll's error if it refuses the socket.
     pub fn add(&mut self, source: &mut impl Source, interest: Interest) -> io::Result<Token> {
         if let Some(error) = self.registration_faults.as_mut().and_then(|fault| fault()) {
             return Err(error);
@@ -207,23 +208,23 @@
         Ok(token)
     }
 
-    /// Refuses sockets as `faults` says, for a trial of what follows from a poll without room.
+    /// Makes registrations fail as `faults` decides, for tests of a poll that can take no more sockets.
     pub fn inject_faults(&mut self, faults: RegistrationFaults) {
         self.registration_faults = Some(faults);
     }
 
-    /// Watches a socket no more, until it is added again.
+    /// Deregisters a socket until it is added again.
     ///
     /// # Errors
-    /// The poll does not have the socket.
+    /// Returns the poll's error if the socket is not registered.
     pub fn remove(&mut self, source: &mut impl Source) -> io::Result<()> {
         self.poll.registry().deregister(source)
     }
 
-    /// Begins to connect; the poll reports how it ends.
+    /// Starts a connection to `address`; the poll reports when it has completed or failed.
     ///
     /// # Errors
-    /// The system gives no socket, or refuses the address at once.
+    /// Returns the system's error if it has no socket or refuses the address at once.
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<(Token, TcpStream)> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -231,11 +232,11 @@
         Ok((token, stream))
     }
 
-    /// Waits until something is ready, for `wait` at most, and appends all that is: what is not reported was not there
-    /// when this was called.
+    /// Waits until a socket is ready, for `wait` at most, and appends all that are ready to `ready`. A readiness that is
+    /// not reported did not exist when this was called.
     ///
     /// # Errors
-    /// The poll fails.
+    /// Returns the poll's error.
     pub fn wait(&mut self, wait: Duration, ready: &mut Vec<Ready>) -> io::Result<()> {
         let mut is_complete = self.poll_once(wait, ready)?;
         for _ in 1..MAX_POLLS_PER_WAIT {
@@ -247,8 +248,8 @@
         Ok(())
     }
 
-    /// Polls once. Whether all was reported: a signal, or a process that was stopped and goes on, ends a poll before it
-    /// has looked at the sockets, and a full buffer leaves the rest.
+    /// Polls once. Returns whether all ready sockets were reported: a signal, or the resumption of a stopped process,
+    /// interrupts a poll before it has checked the sockets, and a full event buffer leaves some unreported.
     fn poll_once(&mut self, wait: Duration, ready: &mut Vec<Ready>) -> io::Result<bool> {
         match self.poll.poll(&mut self.events, Some(wait)) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(false),
@@ -265,7 +266,7 @@
         Ok(ready.len() - reported < EVENTS_PER_POLL)
     }
 
-    /// The signals since the last call.
+    /// Returns the signals received since the last call.
     pub fn take_signals(&mut self) -> Signals {
         let mut bytes = [0; 64];
         while matches!(self.signals.read(&mut bytes), Ok(n) if n > 0) {}
--- a/src/net/event_loop/tests.rs
+++ b/src/net/event_loop/tests.rs
@@ -1,12 +1,12 @@
-//! The order of timers.
+//! Order of timers.
 
 use super::*;
 
 #[test]
-fn timers_come_in_order_of_time_then_of_setting() {
+fn timers_are_due_in_order_of_time_and_then_in_the_order_set() {
     let mut timers = Timers::default();
-    for (at, what) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
-        timers.set(at, what);
+    for (at, payload) in [(30, 'c'), (10, 'a'), (30, 'd'), (20, 'b')] {
+        timers.set(at, payload);
     }
     assert_eq!(timers.next(), Some(10));
     assert_eq!(timers.due(9).map(|t| t.1), None);
