--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its buffers and states. It knows no protocol; its owner is told by callbacks what happens on it.
+//! A connection with its buffers and states, independent of the protocol; callbacks notify its owner of received bytes.
 //!
 //! ```text
 //! Dialing --connected--> Open --finish()--> Finishing --flushed, shut--> Lingering --peer ended--> Closed
@@ -7,12 +7,12 @@
 //!    +----failed----------+-----------------+------ended, failed, close()----------------------------+
 //! ```
 //!
-//! Once the owner has refused input, the connection discards what comes, so that the peer's end is still seen; what the
-//! owner writes goes out until it finishes the connection.
+//! Once the owner has refused input, the connection discards further input, so that the peer's end is still seen; the
+//! owner's output is still written until the owner finishes the connection.
 //!
-//! A close over bytes that were not read resets the connection, and what the peer has not read yet is lost with it:
-//! the last response. So [`Connection::finish`] writes all, shuts its own side and reads, to no effect, until the
-//! peer ends; who owns the connection closes it where that takes too long.
+//! Closing a socket with unread bytes resets the connection, and data that the peer has not read yet, such as the last
+//! response, is lost. [`Connection::finish`] therefore writes all output, shuts down the writing side, and discards
+//! input until the peer closes; the owner closes the connection if that takes too long.
 
 #[cfg(test)]
 mod tests;
@@ -25,24 +25,24 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Bytes read at a time.
+/// Size of the read buffer in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes read in one turn: then others have theirs.
+/// Maximum number of bytes read in one iteration of the event loop, so that other connections get their share.
 const MAX_BYTES_PER_TURN: usize = 128 * 1024;
-/// Bytes looked at that were not read: more than the system holds for one connection as it comes.
+/// Maximum number of unread bytes that are peeked at: more than the default receive buffer of a socket.
 const MAX_PEEK_BYTES: usize = 256 * 1024;
-/// Bytes read to no effect from a peer that goes on after we have finished, or have stopped hearing it: more than all
-/// that it may have had under way when it could first see the end.
+/// Maximum number of bytes discarded from a peer that keeps sending after the connection was finished or its input was
+/// refused: more than can have been in transit when the peer could first see that.
 const MAX_DISCARDED_BYTES: usize = 4 << 20;
 
-/// What carries the bytes: a socket, or in tests a script.
+/// A byte transport: a socket, or a script in tests.
 pub trait Transport: Read + Write {
-    /// Whether a dial has come through; an error if it has failed.
+    /// Returns whether a dial has completed, or its error if it has failed.
     fn connected(&self) -> io::Result<bool>;
-    /// Tells the peer that nothing more will be written.
-    fn shut(&mut self) -> io::Result<()>;
-    /// Copies what has come and was not read to the front of `buffer`, without taking it; how much that is.
-    fn peek_waiting(&mut self, buffer: &mut [u8]) -> usize;
+    /// Shuts down the writing side.
+    fn shut_down_writing(&mut self) -> io::Result<()>;
+    /// Copies unread bytes to the front of `buffer` without consuming them, and returns their number.
+    fn peek_unread_bytes(&mut self, buffer: &mut [u8]) -> usize;
 }
 
 impl Transport for TcpStream {
@@ -57,83 +57,84 @@
         }
     }
 
-    fn shut(&mut self) -> io::Result<()> {
+    fn shut_down_writing(&mut self) -> io::Result<()> {
         self.shutdown(Shutdown::Write)
     }
 
-    fn peek_waiting(&mut self, buffer: &mut [u8]) -> usize {
+    fn peek_unread_bytes(&mut self, buffer: &mut [u8]) -> usize {
         self.peek(buffer).unwrap_or(0)
     }
 }
 
-/// Why a connection is no more.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
-    /// The dial failed or took too long.
+    /// The dial failed.
     NeverOpened,
-    /// The peer ended it, or it broke.
+    /// The peer closed the connection, or it failed.
     Lost,
-    /// We ended it.
+    /// The owner closed the connection.
     ByOwner,
 }
 
-/// What the owner of a connection is told.
+/// Notifications to the owner of a connection.
 pub trait Callbacks {
-    /// The dial has come through.
+    /// The dial has succeeded.
     fn opened(&mut self) {}
-    /// Bytes have come; takes off what is whole.
+    /// Bytes were received. The owner removes complete messages from the front of `bytes`.
     ///
     /// # Errors
-    /// The bytes are in breach of the protocol: what comes from now on is discarded.
+    /// Returns how the bytes violate the protocol; further input is then discarded.
     fn received(&mut self, bytes: &mut BytesMut) -> Result<(), super::protocol::Malformed>;
 }
 
 /// The states of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not yet through.
+    /// The dial has not completed.
     Dialing,
-    /// Both ways open.
+    /// Open in both directions.
     Open,
-    /// Both ways open, but what comes is dropped: the owner has refused it.
+    /// Open in both directions, but input is discarded because the owner has refused it.
     Discarding,
-    /// What comes is discarded; shuts our side once all is written.
+    /// Input is discarded; the writing side is shut down once all output is written.
     Finishing,
-    /// All is written and our side is shut; what comes is discarded. Closes once the peer ends.
+    /// All output is written and the writing side is shut down; input is discarded until the peer closes.
     Lingering,
-    /// No more.
+    /// The connection is closed.
     Closed(Closed),
 }
 
-/// One connection.
+/// A connection.
 pub struct Connection<T> {
     transport: T,
     state: State,
     inbox: BytesMut,
     outbox: VecDeque<Vec<u8>>,
-    /// How much of the first piece in the outbox is written.
+    /// Number of written bytes of the first buffer in the outbox.
     front_written: usize,
     queued: u64,
     written: u64,
-    /// More may be there to read than was read.
+    /// Whether the socket may hold unread bytes.
     may_have_input: bool,
     paused: bool,
-    /// Bytes read to no effect, and whether the peer has ended meanwhile.
+    /// Number of discarded bytes.
     discarded: usize,
+    /// Whether the peer closed its writing side while input was discarded.
     peer_closed: bool,
-    /// When bytes last came, or the dial came through.
+    /// Time at which bytes were last received, or the dial succeeded.
     pub last_received: Micros,
-    /// When bytes were last written, or there was nothing to write.
+    /// Time at which bytes were last written, or the outbox was last empty.
     pub last_write_progress: Micros,
 }
 
 impl<T: Transport> Connection<T> {
-    /// One that is being dialed.
+    /// Creates a connection that is being dialed.
     pub fn dialing(transport: T, now: Micros) -> Self {
         Self::new(transport, State::Dialing, now)
     }
 
-    /// One that was accepted.
+    /// Creates a connection that was accepted.
     pub fn accepted(transport: T, now: Micros) -> Self {
         Self::new(transport, State::Open, now)
     }
@@ -156,75 +157,77 @@
         }
     }
 
-    /// Its state.
+    /// Returns the state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether bytes can be exchanged.
+    /// Whether the connection is open in both directions and input is not discarded.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// The transport.
+    /// Returns the transport.
     pub fn transport(&mut self) -> &mut T {
         &mut self.transport
     }
 
-    /// Bytes written so far, of all that were queued.
+    /// Returns the total number of bytes written.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Bytes queued since the beginning: a message is wholly written once `written` is what this was then.
+    /// Returns the total number of bytes queued. A message is completely written once `written` reaches the value that
+    /// this had after the message was queued.
     pub fn queued(&self) -> u64 {
         self.queued
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes queued but not written.
     pub fn backlog(&self) -> usize {
         (self.queued - self.written) as usize
     }
 
-    /// Bytes held for this connection, read or to be written.
+    /// Returns the number of bytes buffered for this connection, read or to be written.
     pub fn buffered_bytes(&self) -> usize {
         self.backlog() + self.inbox.len()
     }
 
-    /// Whether bytes have come that were not read.
+    /// Whether received bytes are unread.
     pub fn has_pending_input(&mut self) -> bool {
-        self.transport.peek_waiting(&mut [0]) > 0
+        self.transport.peek_unread_bytes(&mut [0]) > 0
     }
 
-    /// What has come and was not read yet, as far as it is worth a look, from the beginning of a message on; `None`:
-    /// nothing has.
+    /// Returns the bytes of an incomplete message followed by unread ones, up to `MAX_PEEK_BYTES` of these, or `None`
+    /// if there are no unread bytes or the connection is not open.
     pub fn peek_unread(&mut self) -> Option<Vec<u8>> {
         if !self.is_open() || !self.has_pending_input() {
             return None;
         }
         let mut bytes = self.inbox.to_vec();
-        let begun = bytes.len();
-        bytes.resize(begun + MAX_PEEK_BYTES, 0);
-        let waiting = self.transport.peek_waiting(&mut bytes[begun..]);
-        bytes.truncate(begun + waiting);
+        let buffered = bytes.len();
+        bytes.resize(buffered + MAX_PEEK_BYTES, 0);
+        let unread = self.transport.peek_unread_bytes(&mut bytes[buffered..]);
+        bytes.truncate(buffered + unread);
         Some(bytes)
     }
 
-    /// Whether a message has begun to come and is not whole.
+    /// Whether a message is partially received.
     pub fn has_partial_message(&self) -> bool {
         !self.inbox.is_empty()
     }
 
-    /// Stops reading, so that a peer that does not read can't make us buffer responses for it; or goes on.
+    /// Pauses or resumes reading. A pause prevents a peer that sends requests without reading from making this process
+    /// buffer responses for it.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Whether there may be something to read that no event will tell of.
+    /// Whether there may be bytes to read for which the poll reports no further event.
     pub fn needs_read(&self) -> bool {
         let reads = match self.state {
             State::Open => !self.paused,
-            // Beyond that the peer waits; its end is still told.
+            // Beyond that limit the peer is blocked by flow control; the poll still reports that it closes.
             State::Discarding => self.discarded <= MAX_DISCARDED_BYTES,
             State::Finishing | State::Lingering => true,
             State::Dialing | State::Closed(_) => false,
@@ -232,12 +235,12 @@
         self.may_have_input && reads
     }
 
-    /// Whether it is on its way to its end: what comes now is not heard.
+    /// Whether the connection was finished and is not closed yet: input is discarded.
     pub fn is_ending(&self) -> bool {
         matches!(self.state, State::Finishing | State::Lingering)
     }
 
-    /// Takes what the poll has told.
+    /// Handles the readiness reported by the poll.
     pub fn ready(&mut self, now: Micros, readable: bool, writable: bool, callbacks: &mut impl Callbacks) {
         self.may_have_input |= readable;
         if self.state == State::Dialing && (writable || readable) {
@@ -259,7 +262,7 @@
 
     fn read(&mut self, now: Micros, callbacks: &mut impl Callbacks) {
         let mut allowance = MAX_BYTES_PER_TURN;
-        // Read here, and kept only as far as it came: hundreds of idle connections must not each hold a buffer.
+        // The read buffer is on the stack, because hundreds of idle connections must not hold a buffer each.
         let mut chunk = [0; READ_CHUNK_BYTES];
         while self.needs_read() && allowance > 0 {
             match self.transport.read(&mut chunk) {
@@ -278,7 +281,7 @@
         }
     }
 
-    /// The peer writes nothing more. It may still read: what is queued goes out first.
+    /// Handles the end of the peer's stream. The peer may still read, so queued output is written first.
     fn note_peer_closed(&mut self) {
         match self.state {
             State::Discarding | State::Finishing => {
@@ -301,34 +304,35 @@
         self.inbox.extend_from_slice(bytes);
         self.last_received = now;
         if callbacks.received(&mut self.inbox).is_err() {
-            // The owner may still write what it owes, and the reason, before it finishes.
+            // The owner may still write outstanding responses and the error before it finishes the connection.
             self.inbox.clear();
             self.state = State::Discarding;
         }
     }
 
-    /// Queues bytes; [`Connection::flush`] writes them. What is closed takes nothing.
+    /// Queues bytes, which [`Connection::flush`] writes. Ignored once the writing side is shut down.
     pub fn queue(&mut self, bytes: Vec<u8>) {
-        let takes = matches!(self.state, State::Dialing | State::Open | State::Discarding | State::Finishing);
-        if takes && !bytes.is_empty() {
+        let can_write =
+            matches!(self.state, State::Dialing | State::Open | State::Discarding | State::Finishing);
+        if can_write && !bytes.is_empty() {
             self.queued += bytes.len() as u64;
             self.outbox.push_back(bytes);
         }
     }
 
-    /// Writes what can be written now.
+    /// Writes as many queued bytes as the transport accepts.
     pub fn flush(&mut self, now: Micros) {
         if !matches!(self.state, State::Open | State::Discarding | State::Finishing) {
             return;
         }
-        while let Some(piece) = self.outbox.front() {
-            match self.transport.write(&piece[self.front_written..]) {
+        while let Some(buffer) = self.outbox.front() {
+            match self.transport.write(&buffer[self.front_written..]) {
                 Ok(0) => return self.close_as(Closed::Lost),
                 Ok(n) => {
                     self.last_write_progress = now;
                     self.written += n as u64;
                     self.front_written += n;
-                    if self.front_written == piece.len() {
+                    if self.front_written == buffer.len() {
                         self.front_written = 0;
                         self.outbox.pop_front();
                     }
@@ -339,16 +343,16 @@
             }
         }
         self.last_write_progress = now;
-        invariant!(self.written == self.queued, "an empty outbox means that all is written");
+        invariant!(self.written == self.queued, "all bytes are written once the outbox is empty");
         if self.state == State::Finishing {
-            match self.transport.shut() {
+            match self.transport.shut_down_writing() {
                 Ok(()) if !self.peer_closed => self.state = State::Lingering,
                 _ => self.close_as(Closed::ByOwner),
             }
         }
     }
 
-    /// Drops what comes from now on; what is queued still goes out.
+    /// Discards input from now on; queued output is still written.
     pub fn discard_input(&mut self) {
         if self.state == State::Open {
             self.state = State::Discarding;
@@ -356,17 +360,18 @@
         }
     }
 
-    /// Whether what comes is dropped while what is queued still goes out.
+    /// Whether input is discarded while queued output is still written.
     pub fn is_discarding(&self) -> bool {
         self.state == State::Discarding
     }
 
-    /// Whether the peer has been seen to write nothing more, after its bytes were heard no more.
+    /// Whether the peer closed its writing side while its input was discarded.
     pub fn has_peer_closed(&self) -> bool {
         self.peer_closed
     }
 
-    /// Hears no more, writes all, shuts its side and closes when the peer ends.
+    /// Finishes the connection: discards input, writes all output, shuts down the writing side, and closes when the
+    /// peer does.
     pub fn finish(&mut self, now: Micros) {
         match self.state {
             State::Open | State::Discarding => self.state = State::Finishing,
@@ -377,7 +382,7 @@
         self.flush(now);
     }
 
-    /// Closes at once.
+    /// Closes the connection at once.
     pub fn close(&mut self) {
         self.close_as(Closed::ByOwner);
     }
--- a/src/net/connection/tests.rs
+++ b/src/net/connection/tests.rs
@@ -1,5 +1,4 @@
-//! A model of a connection's states: what each step may change is told here in plain terms, and random steps
-//! are checked against it.
+//! Random steps of a connection, checked against a model of its state transitions.
 
 use super::*;
 use crate::net::protocol::Malformed;
@@ -10,8 +9,8 @@
 enum Step {
     Dial(bool),
     Incoming(u8, usize),
-    PeerEnds(bool),
-    Room(usize),
+    PeerCloses(bool),
+    SetCapacity(usize),
     Ready(bool, bool),
     Queue(u8, usize),
     Flush,
@@ -22,13 +21,13 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    // A large piece now and then, so that buffers and the share of one turn are outgrown.
+    // Large sizes now and then exceed the buffers and the bytes read in one iteration.
     let size = || prop_oneof![8 => 1..2_000usize, 1 => 60_000..700_000usize];
     prop_oneof![
         2 => prop_oneof![3 => Just(true), 1 => Just(false)].prop_map(Step::Dial),
         3 => (prop_oneof![9 => 0..POISON, 1 => Just(POISON)], size()).prop_map(|(b, n)| Step::Incoming(b, n)),
-        1 => any::<bool>().prop_map(Step::PeerEnds),
-        3 => size().prop_map(Step::Room),
+        1 => any::<bool>().prop_map(Step::PeerCloses),
+        3 => size().prop_map(Step::SetCapacity),
         6 => any::<(bool, bool)>().prop_map(|(r, w)| Step::Ready(r, w)),
         3 => (any::<u8>(), size()).prop_map(|(b, n)| Step::Queue(b, n)),
         2 => Just(Step::Flush),
@@ -39,28 +38,28 @@
     ]
 }
 
-/// This byte makes no sense to the owner of the connection.
+/// A byte that the owner of the connection rejects as malformed.
 const POISON: u8 = 12;
 
-/// The owner: keeps what it hears, in order.
+/// An owner that records the received bytes in order.
 #[derive(Default)]
 struct Owner {
     opened: usize,
     received: Vec<u8>,
-    poisoned: bool,
+    rejected: bool,
 }
 
 impl Callbacks for Owner {
     fn opened(&mut self) {
-        assert!(self.received.is_empty(), "bytes before the opening");
+        assert!(self.received.is_empty(), "bytes before the connection opened");
         self.opened += 1;
     }
 
     fn received(&mut self, bytes: &mut BytesMut) -> Result<(), Malformed> {
-        assert!(!self.poisoned, "bytes after what made no sense");
+        assert!(!self.rejected, "bytes after a malformed one");
         self.received.extend(&bytes.split()[..]);
-        self.poisoned = self.received.contains(&POISON);
-        if self.poisoned {
+        self.rejected = self.received.contains(&POISON);
+        if self.rejected {
             return Err(Malformed::FrameType);
         }
         Ok(())
@@ -74,9 +73,9 @@
     let mut conn = new(script, 0);
     let (mut owner, mut sent, mut queued) = (Owner::default(), Vec::new(), Vec::new());
     for (now, step) in (1..).zip(steps) {
-        let (before, received, taken) = (conn.state(), owner.received.len(), wire.borrow().taken.len());
+        let (before, received, written) = (conn.state(), owner.received.len(), wire.borrow().written.len());
         let (paused, dial) = (conn.paused, wire.borrow().dial);
-        let blocked = wire.borrow().room < conn.backlog();
+        let blocked = wire.borrow().capacity < conn.backlog();
         let mut may_become = vec![before];
         match step {
             Step::Dial(ok) => {
@@ -86,8 +85,8 @@
                 sent.extend(std::iter::repeat_n(byte, count));
                 wire.borrow_mut().incoming.extend(std::iter::repeat_n(byte, count));
             }
-            Step::PeerEnds(error) => wire.borrow_mut().end = Some(error),
-            Step::Room(room) => wire.borrow_mut().room = room,
+            Step::PeerCloses(error) => wire.borrow_mut().end = Some(error),
+            Step::SetCapacity(capacity) => wire.borrow_mut().capacity = capacity,
             Step::Queue(byte, count) => {
                 conn.queue(vec![byte; count]);
                 if !matches!(before, State::Lingering | State::Closed(_)) {
@@ -106,7 +105,7 @@
                     }
                     (State::Open, _) => may_become.extend([State::Discarding, State::Closed(Closed::Lost)]),
                     (State::Discarding, _) => may_become.push(State::Closed(Closed::Lost)),
-                    // An error breaks it whatever its state; an end counts only once all is written.
+                    // An error closes it in any state; the peer's end only after all output is written.
                     (State::Finishing, _) if writable && !blocked => {
                         may_become = vec![
                             State::Lingering,
@@ -122,10 +121,10 @@
                     _ => {}
                 }
                 if conn.state() == State::Discarding && before != State::Discarding {
-                    assert!(owner.poisoned, "refused without a cause");
+                    assert!(owner.rejected, "input discarded without a cause");
                 }
                 if conn.state() == State::Closed(Closed::ByOwner) && before != conn.state() {
-                    // Guards the last answer: a close over bytes that were not read takes it back.
+                    // Guards the last response: a close with unread input resets the connection and loses it.
                     let (read, wire) = (wire.borrow().incoming.is_empty(), wire.borrow());
                     assert!(
                         conn.discarded > MAX_DISCARDED_BYTES || read && wire.end.is_some(),
@@ -153,7 +152,11 @@
                     _ => may_become,
                 };
                 if !blocked && matches!(before, State::Open | State::Discarding | State::Finishing) {
-                    assert_eq!(wire.borrow().taken.len(), queued.len(), "room was left unused");
+                    assert_eq!(
+                        wire.borrow().written.len(),
+                        queued.len(),
+                        "not all output was written although the transport had capacity"
+                    );
                 }
             }
             Step::DiscardInput => {
@@ -172,24 +175,27 @@
         let after = conn.state();
         assert!(may_become.contains(&after), "{before:?} became {after:?}, not one of {may_become:?}");
         let wire = wire.borrow();
-        assert!(queued.starts_with(&wire.taken), "bytes went out changed or out of order");
-        assert!(sent.starts_with(&owner.received), "bytes came in changed or out of order");
-        assert_eq!((conn.written(), conn.queued()), (wire.taken.len() as u64, queued.len() as u64));
+        assert!(queued.starts_with(&wire.written), "written bytes differ from queued ones");
+        assert!(sent.starts_with(&owner.received), "received bytes differ from sent ones");
+        assert_eq!((conn.written(), conn.queued()), (wire.written.len() as u64, queued.len() as u64));
         assert_eq!(owner.opened, usize::from(!accepted && owner.opened > 0), "opened once at most");
-        let listens = matches!(before, State::Open | State::Dialing) && !paused;
-        assert!(listens || owner.received.len() == received, "received while {before:?}, paused {paused}");
+        let may_receive = matches!(before, State::Open | State::Dialing) && !paused;
+        assert!(
+            may_receive || owner.received.len() == received,
+            "received while {before:?}, paused {paused}"
+        );
         if after == State::Lingering {
-            assert_eq!(wire.shut, Some(queued.len()), "shut before all was written");
+            assert_eq!(wire.shutdown_at, Some(queued.len()), "shut down before all output was written");
         }
-        let talks = !matches!(before, State::Lingering | State::Closed(_));
-        assert!(talks || wire.taken.len() == taken, "talked while {before:?}");
+        let may_write = !matches!(before, State::Lingering | State::Closed(_));
+        assert!(may_write || wire.written.len() == written, "wrote while {before:?}");
     }
 }
 
 proptest! {
     #![proptest_config(config())]
     #[test]
-    fn random_steps_keep_to_the_model(accepted: bool, steps in prop::collection::vec(step(), 1..60)) {
+    fn state_transitions_match_the_model(accepted: bool, steps in prop::collection::vec(step(), 1..60)) {
         check(accepted, steps);
     }
 }
--- a/src/net/testing.rs
+++ b/src/net/testing.rs
@@ -1,4 +1,4 @@
-//! The helper that the models of the connection and of the pool share: a transport that follows a script.
+//! Test support for connections and their pool: a scripted transport, and the configuration of property tests.
 
 use super::connection::Transport;
 use proptest::test_runner::{Config, RngSeed};
@@ -7,24 +7,24 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::rc::Rc;
 
-/// What the other end does and has seen.
+/// Scripted behavior of the peer, and what it has received.
 #[derive(Debug, Default)]
 pub struct Wire {
-    /// How the dial ended, if it has.
+    /// Whether the dial succeeded; `None` while it has not completed.
     pub dial: Option<bool>,
-    /// Bytes on their way in.
+    /// Bytes that the peer has sent and that are not read yet.
     pub incoming: VecDeque<u8>,
-    /// Behind them: an end (`false`) or an error (`true`).
+    /// Whether an end of stream (`false`) or an error (`true`) follows these bytes.
     pub end: Option<bool>,
-    /// Bytes that still go out before writing blocks.
-    pub room: usize,
-    /// Bytes that went out.
-    pub taken: Vec<u8>,
-    /// Our side was shut, after so many bytes.
-    pub shut: Option<usize>,
+    /// Number of bytes that can be written before writes block.
+    pub capacity: usize,
+    /// Bytes that were written.
+    pub written: Vec<u8>,
+    /// Number of bytes that had been written when the writing side was shut down, if it was.
+    pub shutdown_at: Option<usize>,
 }
 
-/// A transport whose other end the test holds.
+/// A transport whose peer is scripted by the test.
 #[derive(Clone, Debug, Default)]
 pub struct Script(pub Rc<RefCell<Wire>>);
 
@@ -36,16 +36,16 @@
         }
     }
 
-    fn shut(&mut self) -> io::Result<()> {
+    fn shut_down_writing(&mut self) -> io::Result<()> {
         let mut wire = self.0.borrow_mut();
-        wire.shut = Some(wire.taken.len());
+        wire.shutdown_at = Some(wire.written.len());
         Ok(())
     }
 
-    fn peek_waiting(&mut self, buffer: &mut [u8]) -> usize {
+    fn peek_unread_bytes(&mut self, buffer: &mut [u8]) -> usize {
         let wire = self.0.borrow();
-        let waiting = wire.incoming.iter().zip(buffer);
-        waiting.map(|(byte, to)| *to = *byte).count()
+        let unread = wire.incoming.iter().zip(buffer);
+        unread.map(|(byte, to)| *to = *byte).count()
     }
 }
 
@@ -64,9 +64,9 @@
 impl Write for Script {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut wire = self.0.borrow_mut();
-        let count = bytes.len().min(wire.room);
-        wire.room -= count;
-        wire.taken.extend(&bytes[..count]);
+        let count = bytes.len().min(wire.capacity);
+        wire.capacity -= count;
+        wire.written.extend(&bytes[..count]);
         if count == 0 {
             return Err(ErrorKind::WouldBlock.into());
         }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Equal cases in every run: CI must always give the same verdict.
+/// Configuration of property tests with the same cases in every run, so that CI always gives the same verdict.
 pub fn config() -> Config {
     Config { cases: 512, rng_seed: RngSeed::Fixed(20261201), failure_persistence: None, ..Config::default() }
 }
