--- a/src/net/protocol/frames.rs
+++ b/src/net/protocol/frames.rs
@@ -206,6 +206,6 @@
 }
 
 /// No new request on this connection.
-pub fn encode_leaving() -> Vec<u8> {
+pub fn encode_going_away() -> Vec<u8> {
     encode_frame(LEAVING, 0, &[], &[], &[])
 }
--- a/src/net/protocol/tests.rs
+++ b/src/net/protocol/tests.rs
@@ -116,7 +116,7 @@
     let reply = |r| frames::encode_response(9, &r);
     assert_eq!(reply(Response::Ok(b"xy".to_vec())), b"\x00\x00\x00\x09\x08\x00\x00\x00\x09\x14\x00xy");
     assert_eq!(reply(Response::Failed), b"\x00\x00\x00\x07\x08\x00\x00\x00\x09\x33\x00");
-    assert_eq!(frames::encode_leaving(), b"\x00\x00\x00\x05\x03\x00\x00\x00\x00");
+    assert_eq!(frames::encode_going_away(), b"\x00\x00\x00\x05\x03\x00\x00\x00\x00");
 }
 
 proptest! {
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -48,7 +48,7 @@
             return;
         }
         client.has_sent_going_away = true;
-        client.conn.queue(frames::encode_leaving());
+        client.conn.queue(frames::encode_going_away());
         client.conn.flush(self.now);
         self.after_client_write(token);
     }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -95,7 +95,7 @@
         frames::encode_error(Malformed::FrameType),
         frames::encode_ready(9, true),
         frames::encode_ready(9, false),
-        frames::encode_leaving(),
+        frames::encode_going_away(),
     ];
     same_as_stored("sent/doorman-frames.hex", &written.concat());
 }
