--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -232,8 +232,8 @@
         Ok((token, stream))
     }
 
-    /// Waits until a socket is ready, for `wait` at most, and appends all that are ready to `ready`. A readiness that is
-    /// not reported did not exist when this was called.
+    /// Waits until a socket is ready, for `wait` at most, and appends all that are ready to `ready`. A readiness that
+    /// is not reported did not exist when this was called.
     ///
     /// # Errors
     /// Returns the poll's error.
