--- a/src/net/protocol/command_channel.rs
+++ b/src/net/protocol/command_channel.rs
@@ -1,77 +1,77 @@
-//! The command channel: numbered changes of the list of endpoints, and purges.
+//! Codec of the command channel: numbered endpoint updates and purges.
 
 use super::{take_frame, Malformed};
 use bytes::{Buf, BytesMut};
 use std::net::{Ipv4Addr, SocketAddr};
 
 const RECORD_BYTES: usize = 27;
-/// More than a list of every endpoint can need: 65,535 records.
+/// Valid frame lengths in bytes. The maximum, 65,535 records, exceeds a list of all endpoints.
 const FRAME_LENGTHS: std::ops::RangeInclusive<usize> = 9..=RECORD_BYTES * 65_535 + 9;
 
 /// The state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
+    /// The endpoint serves requests.
     Ready,
-    /// It finishes its work.
+    /// The endpoint completes its open requests and gets no new ones.
     Draining,
-    /// It is gone.
+    /// The endpoint was removed.
     Gone,
 }
 
-/// What the list says of one endpoint.
+/// The entry of one endpoint in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Its id as text.
+    /// The endpoint's id.
     pub id: String,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// State of the endpoint.
     pub state: State,
-    /// Its zone, as a place in the settings' list.
+    /// Index of the endpoint's zone in the settings.
     pub zone: usize,
-    /// Its kind, as a place in the settings' list.
+    /// Index of the endpoint's kind in the settings.
     pub kind: usize,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u32,
-    /// Its weight.
+    /// Weight of the endpoint.
     pub weight: f64,
-    /// Unix millisecond of a late start, or 0.
+    /// Unix time of a recent start in milliseconds, or 0.
     pub started_ms: u64,
 }
 
-/// What an event tells.
+/// The command of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// The list of endpoints, or its changes.
+    /// The endpoint list, or changes to it.
     Endpoints {
-        /// Who is not named is gone.
+        /// Whether the list is complete, so that endpoints not in it are removed.
         complete: bool,
-        /// The entries.
+        /// Entries of the list.
         records: Vec<Record>,
     },
-    /// Copies older than a Unix millisecond are void.
+    /// Invalidates copies made before a given time.
     Purge {
-        /// The object or the group.
+        /// The purged object or group.
         scope: Purge,
-        /// When it was purged.
+        /// Unix time of the purge in milliseconds.
         when_ms: u64,
     },
 }
 
-/// What is purged.
+/// The scope of a purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purge {
-    /// One object.
+    /// The object with this id.
     Object(u64),
-    /// All objects of a group.
+    /// All objects of the purge group with this number.
     Group(u64),
 }
 
-/// One frame of the channel; `None`: nothing new.
+/// A frame of the channel: the event's number and its command, or `None` for an empty frame.
 pub type NumberedCommand = (u64, Option<Command>);
 
-/// Takes one frame off the front of `bytes`, or leaves them as they are if it is not whole yet.
+/// Decodes and removes a frame from the front of `bytes`; leaves `bytes` unchanged if the frame is incomplete.
 pub fn decode(bytes: &mut BytesMut) -> Result<Option<NumberedCommand>, Malformed> {
     let Some(mut frame) = take_frame(bytes, FRAME_LENGTHS)? else { return Ok(None) };
     let (number, kind) = (frame.get_u64(), frame.get_u8());
@@ -112,7 +112,7 @@
     })
 }
 
-/// What an instance writes on a new connection: the last event that it has.
+/// Encodes the first message of an instance on a new connection: the number of its last event.
 pub fn encode_hello(cursor: u64) -> [u8; 8] {
     cursor.to_be_bytes()
 }
--- a/src/net/protocol/frames.rs
+++ b/src/net/protocol/frames.rs
@@ -1,16 +1,16 @@
-//! The clients' protocol: binary frames, big-endian.
+//! Codec of the client protocol: binary frames in big-endian order.
 
 use super::{take_frame, ClientRequest, Malformed, Response, LENGTH_BYTES};
 use bytes::{Buf, BytesMut};
 
-/// A frame's length counts its type and stream, and all of a payload. Clients' frames are allowed less than the
-/// protocol's 262,144: what one writes is 48,000 bytes at most, and some more for its fields.
+/// Valid lengths of client frames in bytes, which count type, stream and payload. The maximum is below the protocol's
+/// 262,144, because a request body has 48,000 bytes at most; the rest is for the fields.
 const FRAME_LENGTHS: std::ops::RangeInclusive<usize> = 5..=MAX_BODY_BYTES + 16_384;
-/// Most bytes that one request writes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 48_000;
-/// More parts than any object has.
+/// Exclusive upper bound of chunk numbers; no object has as many chunks.
 const MAX_CHUNKS: u64 = 65_536;
-/// Longest text that is passed on as it is.
+/// Maximum length of a text that is forwarded unchanged, in bytes.
 const MAX_TEXT_BYTES: usize = 64;
 
 const REQUEST: u8 = 7;
@@ -18,35 +18,35 @@
 const CANCEL: u8 = 9;
 const READY: u8 = 1;
 const READY_RESPONSE: u8 = 2;
-const LEAVING: u8 = 3;
+const GOING_AWAY: u8 = 3;
 
 const STATUS_OK: u8 = 20;
 const STATUS_REJECTED: u8 = 50;
 const STATUS_FAILED: u8 = 51;
 
-/// What a client sends.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientMessage {
-    /// A request on a stream.
+    /// A request.
     Request {
-        /// New on its connection.
+        /// Number of a new stream on the connection.
         stream: u32,
-        /// What is asked.
+        /// The request.
         request: Box<ClientRequest>,
     },
-    /// Nobody waits for this stream any more.
+    /// Cancellation of a request.
     Cancel {
-        /// As named in the request.
+        /// Stream of the request.
         stream: u32,
     },
-    /// Is the instance ready?
+    /// A readiness check.
     Ready {
-        /// To be used in the answer.
+        /// Stream to be used in the response.
         stream: u32,
     },
 }
 
-/// Takes one message off the front of `bytes`, or leaves them as they are if it is not whole yet.
+/// Decodes and removes a message from the front of `bytes`; leaves `bytes` unchanged if the message is incomplete.
 pub fn decode(bytes: &mut BytesMut) -> Result<Option<ClientMessage>, Malformed> {
     let Some(mut frame) = take_frame(bytes, FRAME_LENGTHS)? else { return Ok(None) };
     let (kind, stream) = (frame.get_u8(), frame.get_u32());
@@ -75,8 +75,8 @@
         seen.push(name);
         decode_field(&mut request, name, value)?;
     }
-    for needed in ["route", "trace", "patience", "entity"] {
-        if !seen.contains(&needed) {
+    for required in ["route", "trace", "patience", "entity"] {
+        if !seen.contains(&required) {
             return Err(Malformed::MissingField);
         }
     }
@@ -124,21 +124,22 @@
 }
 
 fn decode_number(value: &str) -> Result<u64, Malformed> {
-    let digits = value.bytes().all(|b| b.is_ascii_digit());
-    Some(value).filter(|_| digits).unwrap_or_default().parse().map_err(|_| Malformed::Number)
+    let is_decimal = value.bytes().all(|b| b.is_ascii_digit());
+    Some(value).filter(|_| is_decimal).unwrap_or_default().parse().map_err(|_| Malformed::Number)
 }
 
-/// An object is passed on as text and compared as a number: only one text may stand for each.
+/// Decodes an id of exactly 16 lower-case hex digits. Ids are forwarded as text but compared as numbers, so each number
+/// must have a single text form.
 fn decode_hex(value: &str) -> Result<u64, Malformed> {
-    let digits = value.len() == 16 && value.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    u64::from_str_radix(value, 16).ok().filter(|_| digits).ok_or(Malformed::HexId)
+    let is_hex = value.len() == 16 && value.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    u64::from_str_radix(value, 16).ok().filter(|_| is_hex).ok_or(Malformed::HexId)
 }
 
-/// A text that goes on into an endpoint's list of fields: what divides that list must not be in it.
+/// Decodes a text that is forwarded in a field list of the endpoint protocol, whose separators it must not contain.
 fn decode_plain_text(value: &str) -> Result<String, Malformed> {
-    let plain = (1..=MAX_TEXT_BYTES).contains(&value.len())
+    let is_plain = (1..=MAX_TEXT_BYTES).contains(&value.len())
         && value.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=');
-    if plain {
+    if is_plain {
         Ok(value.to_owned())
     } else {
         Err(Malformed::FieldCharacters)
@@ -166,21 +167,21 @@
     out
 }
 
-/// Whether whole messages at the front of these bytes take a stream back; nothing is taken off.
+/// Whether the complete messages at the front of `bytes` include a cancellation of `stream`.
 pub fn contains_cancel(mut bytes: &[u8], stream: u32) -> bool {
     let cancel = [&[CANCEL][..], &stream.to_be_bytes()].concat();
-    while let Some((head, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() {
-        let length = u32::from_be_bytes(*head) as usize;
-        let Some((frame, more)) = rest.split_at_checked(length) else { return false };
+    while let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() {
+        let length = u32::from_be_bytes(*length) as usize;
+        let Some((frame, remaining)) = rest.split_at_checked(length) else { return false };
         if frame == cancel {
             return true;
         }
-        bytes = more;
+        bytes = remaining;
     }
     false
 }
 
-/// The answer to a request.
+/// Encodes the response to a request.
 pub fn encode_response(stream: u32, response: &Response) -> Vec<u8> {
     match response {
         Response::Ok(body) => encode_frame(RESPONSE, stream, &[STATUS_OK], &[], body),
@@ -195,17 +196,17 @@
     }
 }
 
-/// Tells of an error that belongs to no request.
+/// Encodes an error that belongs to the connection rather than a request.
 pub fn encode_error(reason: Malformed) -> Vec<u8> {
     encode_frame(RESPONSE, 0, &[STATUS_FAILED], &[], reason.to_string().as_bytes())
 }
 
-/// The answer to [`ClientMessage::Ready`].
-pub fn encode_ready(stream: u32, yes: bool) -> Vec<u8> {
-    encode_frame(READY_RESPONSE, stream, &[if yes { STATUS_OK } else { STATUS_REJECTED }], &[], &[])
+/// Encodes the response to [`ClientMessage::Ready`].
+pub fn encode_ready(stream: u32, is_ready: bool) -> Vec<u8> {
+    encode_frame(READY_RESPONSE, stream, &[if is_ready { STATUS_OK } else { STATUS_REJECTED }], &[], &[])
 }
 
-/// No new request on this connection.
+/// Encodes the notice that no new request is to be sent on this connection.
 pub fn encode_going_away() -> Vec<u8> {
-    encode_frame(LEAVING, 0, &[], &[], &[])
+    encode_frame(GOING_AWAY, 0, &[], &[], &[])
 }
--- a/src/net/protocol/malformed.rs
+++ b/src/net/protocol/malformed.rs
@@ -1,114 +1,113 @@
-//! What a peer did that its protocol does not allow. It ends the connection on which it was done; a client is told the
-//! text.
+//! Protocol violations of a peer. A violation closes the connection on which it occurs; a client is sent its text.
 
 use thiserror::Error;
 
-/// A breach of a protocol, by what the peer did. The texts of what clients do are part of their protocol.
+/// A protocol violation by a peer. The texts of violations by clients are part of the client protocol.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Malformed {
-    /// A frame is shorter or longer than any of its protocol's.
+    /// The length of a frame is out of the protocol's range.
     #[error("frame length out of range")]
     FrameLength,
 
-    /// A client sent a frame of a type that there is none of.
+    /// A client sent a frame of an unknown type.
     #[error("unknown frame type")]
     FrameType,
-    /// A client sent a request on the stream that stands for the connection.
+    /// A client sent a request on stream 0, which stands for the connection.
     #[error("request on stream 0")]
     StreamZero,
-    /// A client used a stream's number a second time, or a lower one.
+    /// A client sent a request on a stream whose number is not higher than all earlier ones.
     #[error("stream used before")]
     StreamReused,
-    /// A client has more requests open on its connection than are allowed.
+    /// A client exceeded the maximum number of open requests on a connection.
     #[error("too many open requests")]
     TooManyRequests,
     /// A client cancels far more requests than it waits for.
     #[error("requests taken back again and again")]
     TooManyCancels,
-    /// A client's message was not whole in time.
+    /// A client's message was not complete in time.
     #[error("no whole message in time")]
     MessageTimeout,
-    /// The fields of a request are longer than its frame.
+    /// The fields of a request extend beyond its frame.
     #[error("fields overrun the frame")]
     FieldOverrun,
-    /// A field is not UTF-8.
+    /// A field of a request is not valid UTF-8.
     #[error("field is not text")]
     FieldEncoding,
-    /// A field comes a second time.
+    /// A request has the same field twice.
     #[error("field given twice")]
     DuplicateField,
-    /// A field that each request needs is not there.
+    /// A required field of a request is missing.
     #[error("field missing")]
     MissingField,
-    /// A field holds what can't be passed on to an endpoint.
+    /// A field of a request has characters or a length that can't be forwarded to an endpoint.
     #[error("field not fit to pass on")]
     FieldCharacters,
-    /// A number is not one.
+    /// A number in a request is not decimal or too large.
     #[error("bad number")]
     Number,
-    /// An id is not 16 lower-case hex digits.
+    /// An id does not consist of 16 lower-case hex digits.
     #[error("not 16 hex digits")]
     HexId,
-    /// A chunk's number is larger than any object has.
+    /// A chunk number is out of range.
     #[error("no such part")]
     ChunkNumber,
-    /// A purge group is none.
+    /// A purge group is out of range.
     #[error("bad batch")]
     PurgeGroup,
-    /// A size is not a number, or negative.
+    /// A size is not a finite number, or negative.
     #[error("bad size")]
     Size,
-    /// A body is larger than a request may write.
+    /// A request body exceeds the maximum size.
     #[error("body too large")]
     BodySize,
-    /// A request names a class that the settings never had.
+    /// A request has a class that the settings never defined.
     #[error("unknown route")]
     UnknownRoute,
-    /// A request's client waits for no time, or longer than its class could mean.
+    /// The timeout of a request is 0 or exceeds the maximum of its class.
     #[error("patience out of range")]
     TimeoutRange,
-    /// A request's size could not be sent in any time that settings may give.
+    /// The size of a request exceeds what can be sent within any configurable time.
     #[error("size out of range")]
     SizeRange,
-    /// A request of a class with idempotency keys has none.
+    /// A request lacks the idempotency key that its class requires.
     #[error("a keyed request without its key")]
     MissingIdempotencyKey,
 
-    /// An upstream sent something else than an array of bulk strings.
-    #[error("not an array of strings")]
+    /// A response of an upstream is not an array of bulk strings.
+    #[error("response is not an array of bulk strings")]
     NotAnArray,
-    /// An upstream's response has more or fewer strings than four.
-    #[error("not an array of four strings")]
+    /// A response does not have four strings.
+    #[error("response does not have four strings")]
     StringCount,
-    /// The length line of an array or a string does not end.
-    #[error("endless length line")]
+    /// The length line of an array or a string exceeds the maximum length.
+    #[error("length line too long")]
     EndlessLengthLine,
-    /// The length line of an array or a string holds no length.
-    #[error("bad length line")]
+    /// The length line of an array or a string has no valid length.
+    #[error("invalid length line")]
     LengthLine,
-    /// A string of a response is longer than any may be.
+    /// A string of a response exceeds its maximum length.
     #[error("string too long")]
     StringLength,
-    /// A string of a response does not end where its length says.
-    #[error("string without its end")]
+    /// A string of a response is not terminated after its length.
+    #[error("string is not terminated after its length")]
     StringEnd,
-    /// A string of a response is not UTF-8.
-    #[error("string is not text")]
+    /// A string of a response is not valid UTF-8.
+    #[error("string is not valid UTF-8")]
     StringEncoding,
-    /// A response has a status that there is none of.
+    /// A response has an unknown status.
     #[error("unknown response status")]
     ResponseStatus,
-    /// A field of a response has no value.
+    /// A field of a response lacks a value.
     #[error("field without a value")]
     ResponseField,
-    /// A response says that a copy is current, and its request named none.
-    #[error("not modified, but the request named no copy")]
+    /// A response says that a copy is current, but its request named none.
+    #[error("response is 'not modified', but the request named no copy")]
     UnrequestedNotModified,
 
-    /// An event of the command channel has a kind that there is none of, or not its kind's size.
+    /// An event of the command channel has an unknown kind, or a size that does not fit its kind.
     #[error("unknown kind or size of an event")]
     EventKind,
-    /// An event lists an endpoint with a state that there is none of.
+    /// An event lists an endpoint with an unknown state.
     #[error("unknown state of an endpoint")]
     EndpointState,
 }
--- a/src/net/protocol/mod.rs
+++ b/src/net/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! The codecs: bytes in, messages out. None of them knows of sockets, clocks or what a message leads to.
+//! The codecs between bytes and messages. They are independent of sockets, clocks and the handling of messages.
 //!
-//! What a client asks for is an [`ClientRequest`], whatever protocol it came by; a second protocol for clients would
-//! bring a codec of its own and hand over the same.
+//! A client's request is decoded into a [`ClientRequest`], whatever its protocol; a second client protocol would add a
+//! codec that decodes into the same type.
 
 pub mod command_channel;
 pub mod frames;
@@ -14,52 +14,52 @@
 
 use bytes::{Buf, BytesMut};
 
-/// Bytes of the length at the head of a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// One request as a client made it. Texts that are passed on unchanged are kept as they came.
+/// A request as sent by a client. Texts that are forwarded unchanged are stored as received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// Names this try of the request.
+    /// Id of this attempt of the client's request.
     pub request_id: String,
-    /// The class, by name.
+    /// Name of the request's class.
     pub route: String,
-    /// How long the client waits, in milliseconds.
+    /// Time for which the client waits for the response, in milliseconds.
     pub timeout_ms: u64,
     /// The idempotency key, if any.
     pub idempotency_key: Option<String>,
-    /// The object as text, and as the number that the text stands for.
+    /// The object's id as text and as number.
     pub object: (String, u64),
-    /// Which part of the object.
+    /// Index of the chunk in the object.
     pub chunk: u64,
     /// The purge group.
     pub purge_group: u64,
-    /// Size of the part in KB.
+    /// Size of the chunk in KB.
     pub size_kb: f64,
-    /// The tag of the copy that the client holds.
+    /// Tag of the copy that the client has cached.
     pub if_none_match: Option<String>,
-    /// What is to be written.
+    /// Body of a write request.
     pub body: Vec<u8>,
 }
 
-/// How a request ended, as its client is told.
+/// The response to a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// The bytes asked for.
+    /// Success, with the requested bytes.
     Ok(Vec<u8>),
-    /// The copy that the client holds is the one.
+    /// The copy that the client has cached is current.
     NotModified,
-    /// Not done; trying again does no harm after so many milliseconds.
+    /// The request was not executed and may be retried.
     Rejected {
-        /// 0: no advice.
+        /// Milliseconds after which to retry; 0 if unspecified.
         retry_after_ms: u64,
     },
-    /// Failed; it may have run.
+    /// The request failed; it may have been executed.
     Failed,
 }
 
 impl Response {
-    /// What it is, in a word.
+    /// Returns the name of the response's kind, for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Response::Ok(_) => "served",
@@ -70,14 +70,15 @@
     }
 }
 
-/// Takes a frame, what its length of four bytes counts, off the front of `bytes`, if it is whole.
+/// Removes a complete frame from the front of `bytes` and returns its contents without the length prefix. Returns
+/// `None`, and leaves `bytes` unchanged, if the frame is incomplete.
 fn take_frame(
     bytes: &mut BytesMut,
     lengths: std::ops::RangeInclusive<usize>,
 ) -> Result<Option<BytesMut>, Malformed> {
     let Some(head) = bytes.first_chunk() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    // Checked before the rest is awaited: a length out of range must not make us buffer bytes for it.
+    // Checked before the frame is complete: bytes must not be buffered for a length out of range.
     if !lengths.contains(&length) {
         return Err(Malformed::FrameLength);
     }
--- a/src/net/protocol/resp.rs
+++ b/src/net/protocol/resp.rs
@@ -1,52 +1,52 @@
-//! The endpoints' protocol: RESP arrays of bulk strings.
+//! Codec of the endpoint protocol: RESP arrays of bulk strings.
 
 use super::{ClientRequest, Malformed};
 use crate::routing::events::Fetch;
 use bytes::{Buf, BytesMut};
 
-/// Longest head line of an array or a string: a mark, the digits and the line's end.
+/// Maximum size in bytes of the length line of an array or a string, with its type byte and line end.
 const MAX_LENGTH_LINE: usize = 16;
-/// Most bytes of each of an answer's strings: id, word, fields, body.
+/// Maximum size in bytes of each string of a response: request id, status, fields, body.
 const MAX_STRING_BYTES: [usize; 4] = [64, 32, 8192, 262_144];
 
-/// What an endpoint says of one request.
+/// An endpoint's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamResponse {
-    /// The request.
+    /// Id of the request.
     pub request_id: String,
-    /// How it ended.
+    /// Status of the response.
     pub status: UpstreamStatus,
-    /// Names and values.
+    /// Names and values of the fields.
     pub fields: Vec<(String, String)>,
-    /// The bytes asked for.
+    /// The requested bytes.
     pub body: Vec<u8>,
 }
 
-/// The kinds of answers.
+/// The status of an endpoint's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamStatus {
-    /// The bytes.
+    /// Success, with the requested bytes.
     Ok,
-    /// The client's copy is the one.
+    /// The client's copy is current.
     NotModified,
-    /// Miss; it never ran.
+    /// The endpoint has no copy; the request was not executed.
     Miss,
-    /// Full; it never ran.
+    /// The endpoint is full; the request was not executed.
     Rejected,
-    /// Error; it may have run.
+    /// The request failed and may have been executed.
     Error,
-    /// Over already; it never ran.
+    /// The request arrived after its deadline and was not executed.
     Expired,
 }
 
 impl UpstreamResponse {
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|f| f.0 == name).map(|f| f.1.as_str())
     }
 }
 
-/// Takes one answer off the front of `bytes`, or leaves them as they are if it is not whole yet.
+/// Decodes and removes a response from the front of `bytes`; leaves `bytes` unchanged if the response is incomplete.
 pub fn decode(bytes: &mut BytesMut) -> Result<Option<UpstreamResponse>, Malformed> {
     let mut at = 0;
     let Some(count) = decode_length(bytes, &mut at, b'*')? else { return Ok(None) };
@@ -54,10 +54,10 @@
         return Err(Malformed::StringCount);
     }
     let mut spans = [(0, 0); MAX_STRING_BYTES.len()];
-    for (span, most) in spans.iter_mut().zip(MAX_STRING_BYTES) {
+    for (span, max) in spans.iter_mut().zip(MAX_STRING_BYTES) {
         let Some(length) = decode_length(bytes, &mut at, b'$')? else { return Ok(None) };
-        // Checked before the rest is awaited: a length out of range must not make us buffer bytes for it.
-        if length > most {
+        // Checked before the string is complete: bytes must not be buffered for a length out of range.
+        if length > max {
             return Err(Malformed::StringLength);
         }
         *span = (at, at + length);
@@ -70,20 +70,20 @@
         }
     }
     let strings = spans.map(|(from, to)| &bytes[from..to]);
-    let answer = UpstreamResponse {
+    let response = UpstreamResponse {
         request_id: decode_text(strings[0])?.to_owned(),
         status: decode_status(decode_text(strings[1])?)?,
         fields: decode_fields(decode_text(strings[2])?)?,
         body: strings[3].to_vec(),
     };
     bytes.advance(at);
-    Ok(Some(answer))
+    Ok(Some(response))
 }
 
-/// The number in a head line at `at`, which moves past it.
-fn decode_length(bytes: &[u8], at: &mut usize, mark: u8) -> Result<Option<usize>, Malformed> {
+/// Decodes the number in the length line at `at`, and moves `at` past the line. Returns `None` if it is incomplete.
+fn decode_length(bytes: &[u8], at: &mut usize, type_byte: u8) -> Result<Option<usize>, Malformed> {
     let rest = &bytes[*at..];
-    if rest.first().is_some_and(|&b| b != mark) {
+    if rest.first().is_some_and(|&b| b != type_byte) {
         return Err(Malformed::NotAnArray);
     }
     let Some(end) = rest.iter().take(MAX_LENGTH_LINE).position(|&b| b == b'\n') else {
@@ -135,8 +135,8 @@
     out
 }
 
-/// Whole milliseconds of an accepted age. A positive age is rounded down, so that no older copy is accepted than was
-/// decided, but never to 0, which would mean the class's default.
+/// Converts a maximum age to whole milliseconds. It is rounded down, so that no copy older than the maximum is
+/// accepted, but a positive age never to 0, which means the class's default.
 pub fn max_age_ms(max_age_us: u64) -> u64 {
     if max_age_us == 0 {
         0
@@ -145,7 +145,7 @@
     }
 }
 
-/// A command's list of fields, as in `c=page,p=0`.
+/// The field list of a command, such as `c=page,p=0`.
 struct FieldList(String);
 
 impl FieldList {
@@ -176,7 +176,7 @@
     }
 }
 
-/// Asks `endpoint` for what the client asked, to be given up after `timeout_us`.
+/// Encodes a client's request as an attempt at `endpoint` with a timeout of `timeout_us`.
 pub fn encode_request(
     request: &ClientRequest,
     endpoint: &str,
@@ -200,7 +200,7 @@
     encode_command(&[b"want", request.request_id.as_bytes(), fields.0.as_bytes(), &request.body])
 }
 
-/// Gives a request up.
+/// Encodes the cancellation of a request.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode_command(&[b"never_mind", id.as_bytes()])
 }
--- a/src/net/protocol/tests.rs
+++ b/src/net/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! The codecs by themselves: whatever way the bytes are cut, the same messages come out, and none from noise.
+//! Tests of the codecs: messages decode independently of how the bytes are split, and malformed input is rejected.
 
 use super::{command_channel, frames, resp, ClientRequest, Malformed, Response};
 use crate::net::testing::config;
@@ -6,8 +6,8 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 
-/// All messages, with the bytes handed over in pieces of these sizes.
-fn pieces<M>(
+/// Decodes all messages in `bytes`, which are handed over in chunks of these sizes.
+fn decode_chunked<M>(
     mut bytes: &[u8],
     sizes: &[usize],
     decode: fn(&mut BytesMut) -> Result<Option<M>, Malformed>,
@@ -15,8 +15,8 @@
     let (mut buffer, mut out) = (BytesMut::new(), Vec::new());
     let mut sizes = sizes.iter().cycle();
     while !bytes.is_empty() {
-        let (piece, rest) = bytes.split_at(bytes.len().min(*sizes.next().unwrap_or(&1)));
-        buffer.extend_from_slice(piece);
+        let (chunk, rest) = bytes.split_at(bytes.len().min(*sizes.next().unwrap_or(&1)));
+        buffer.extend_from_slice(chunk);
         bytes = rest;
         while let Some(message) = decode(&mut buffer)? {
             out.push(message);
@@ -30,7 +30,7 @@
     \x06entity\x00\x107f3a9c21e0b4d655\x03nth\x00\x013\x05batch\x00\x0217\x04size\x00\x05412.5\
     \x04redo\x00\x011a body";
 
-const ANSWERS: &[u8] =
+const RESPONSES: &[u8] =
     b"*4\r\n$2\r\nid\r\n$2\r\nok\r\n$27\r\ntag=4be0,minted=17,note=hit\r\n$5\r\nby\r\nt\r\n\
     *4\r\n$1\r\nx\r\n$7\r\nrefused\r\n$1\r\n-\r\n$0\r\n\r\n";
 
@@ -40,9 +40,9 @@
     \x00\x00\x00\x13\x00\x00\x00\x00\x00\x00\x00\x2b\x04\x00\x11\x00\x00\x00\x00\x00\x00\x00\x09";
 
 #[test]
-fn a_request_is_read_field_by_field() {
-    let read = pieces(REQUEST, &[REQUEST.len()], frames::decode).unwrap();
-    let ask = ClientRequest {
+fn all_fields_of_a_request_are_decoded() {
+    let decoded = decode_chunked(REQUEST, &[REQUEST.len()], frames::decode).unwrap();
+    let request = ClientRequest {
         request_id: "9b1f03aa5c7e2d41".into(),
         route: "segment".into(),
         timeout_ms: 1500,
@@ -54,15 +54,15 @@
         if_none_match: None,
         body: b"a body".to_vec(),
     };
-    assert_eq!(read, [frames::ClientMessage::Request { stream: 5, request: Box::new(ask) }]);
+    assert_eq!(decoded, [frames::ClientMessage::Request { stream: 5, request: Box::new(request) }]);
 }
 
 #[test]
-fn answers_and_events_are_read_whole() {
-    let answers = pieces(ANSWERS, &[ANSWERS.len()], resp::decode).unwrap();
-    assert_eq!((answers[0].field("tag"), &answers[0].body[..]), (Some("4be0"), &b"by\r\nt"[..]));
-    assert_eq!((answers[1].status, answers.len()), (resp::UpstreamStatus::Rejected, 2));
-    let events = pieces(EVENTS, &[EVENTS.len()], command_channel::decode).unwrap();
+fn upstream_responses_and_events_are_decoded_completely() {
+    let responses = decode_chunked(RESPONSES, &[RESPONSES.len()], resp::decode).unwrap();
+    assert_eq!((responses[0].field("tag"), &responses[0].body[..]), (Some("4be0"), &b"by\r\nt"[..]));
+    assert_eq!((responses[1].status, responses.len()), (resp::UpstreamStatus::Rejected, 2));
+    let events = decode_chunked(EVENTS, &[EVENTS.len()], command_channel::decode).unwrap();
     let record = command_channel::Record {
         id: "s-00c41f7a".into(),
         address: ([10, 1, 0, 9], 9090).into(),
@@ -80,15 +80,15 @@
 }
 
 #[test]
-fn an_age_is_rounded_down_but_never_to_the_default() {
-    // 0 would mean the class's own time: a purge that was a moment ago would be undone.
+fn a_maximum_age_is_rounded_down_but_never_to_the_default() {
+    // 0 would mean the class's default, which would undo a recent purge.
     let rounded = [0, 1, 999, 1000, 85_999, 12_000_000].map(resp::max_age_ms);
     assert_eq!(rounded, [0, 1, 1, 1, 85, 12_000]);
 }
 
 #[test]
-fn a_want_names_what_the_module_decided_and_no_more() {
-    let ask = ClientRequest {
+fn an_attempt_has_exactly_the_fields_of_the_fetch_decision() {
+    let request = ClientRequest {
         request_id: "t".into(),
         route: "page".into(),
         object: ("e".into(), 14),
@@ -102,20 +102,21 @@
         cached_only: true,
         revalidate: true,
     };
-    let want =
-        |fetch: Option<&Fetch>| String::from_utf8(resp::encode_request(&ask, "s-1", fetch, 1_999)).unwrap();
-    assert!(want(Some(&fetch)).contains("\r\nc=page,k=e,p=0,w=1,via=s-2,opts=h+r\r\n$0\r\n"));
-    // The server itself as source means that nothing is filled.
+    let encode = |fetch: Option<&Fetch>| {
+        String::from_utf8(resp::encode_request(&request, "s-1", fetch, 1_999)).unwrap()
+    };
+    assert!(encode(Some(&fetch)).contains("\r\nc=page,k=e,p=0,w=1,via=s-2,opts=h+r\r\n$0\r\n"));
+    // The endpoint itself as source means that no fill is needed.
     fetch.source = "s-1".into();
-    assert!(!want(Some(&fetch)).contains("via"));
-    assert!(want(None).contains("\r\nc=page,k=e,p=0,w=1\r\n"));
+    assert!(!encode(Some(&fetch)).contains("via"));
+    assert!(encode(None).contains("\r\nc=page,k=e,p=0,w=1\r\n"));
 }
 
 #[test]
-fn replies_are_framed_as_the_protocol_says() {
-    let reply = |r| frames::encode_response(9, &r);
-    assert_eq!(reply(Response::Ok(b"xy".to_vec())), b"\x00\x00\x00\x09\x08\x00\x00\x00\x09\x14\x00xy");
-    assert_eq!(reply(Response::Failed), b"\x00\x00\x00\x07\x08\x00\x00\x00\x09\x33\x00");
+fn responses_are_encoded_as_the_protocol_defines() {
+    let encode = |r| frames::encode_response(9, &r);
+    assert_eq!(encode(Response::Ok(b"xy".to_vec())), b"\x00\x00\x00\x09\x08\x00\x00\x00\x09\x14\x00xy");
+    assert_eq!(encode(Response::Failed), b"\x00\x00\x00\x07\x08\x00\x00\x00\x09\x33\x00");
     assert_eq!(frames::encode_going_away(), b"\x00\x00\x00\x05\x03\x00\x00\x00\x00");
 }
 
@@ -123,28 +124,29 @@
     #![proptest_config(config())]
 
     #[test]
-    fn messages_may_be_cut_anywhere(sizes in prop::collection::vec(1..40usize, 1..20)) {
+    fn messages_decode_independently_of_how_the_bytes_are_split(sizes in prop::collection::vec(1..40usize, 1..20)) {
         let whole = [1 << 20];
-        prop_assert_eq!(pieces(REQUEST, &sizes, frames::decode), pieces(REQUEST, &whole, frames::decode));
-        prop_assert_eq!(pieces(ANSWERS, &sizes, resp::decode), pieces(ANSWERS, &whole, resp::decode));
-        let events = pieces(EVENTS, &whole, command_channel::decode);
-        prop_assert_eq!(pieces(EVENTS, &sizes, command_channel::decode), events);
+        prop_assert_eq!(decode_chunked(REQUEST, &sizes, frames::decode), decode_chunked(REQUEST, &whole, frames::decode));
+        prop_assert_eq!(decode_chunked(RESPONSES, &sizes, resp::decode), decode_chunked(RESPONSES, &whole, resp::decode));
+        let events = decode_chunked(EVENTS, &whole, command_channel::decode);
+        prop_assert_eq!(decode_chunked(EVENTS, &sizes, command_channel::decode), events);
     }
 
-    /// One byte changed or noise alone: an error or messages, never a panic or more held than came.
+    /// Valid messages with one changed byte, and random bytes, yield an error or messages, but never a panic or more
+    /// messages than the bytes can hold.
     #[test]
-    fn noise_is_survived(at in 0..400usize, byte: u8, noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        for bytes in [REQUEST, ANSWERS, EVENTS, &noise] {
+    fn malformed_bytes_yield_errors_or_messages_without_a_panic(at in 0..400usize, byte: u8, noise in prop::collection::vec(any::<u8>(), 0..200)) {
+        for bytes in [REQUEST, RESPONSES, EVENTS, &noise] {
             let mut bytes = bytes.to_vec();
             if let Some(b) = bytes.get_mut(at) {
                 *b = byte;
             }
-            for read in [
-                pieces(&bytes, &[7], frames::decode).map(|m| m.len()),
-                pieces(&bytes, &[7], resp::decode).map(|m| m.len()),
-                pieces(&bytes, &[7], command_channel::decode).map(|m| m.len()),
+            for decoded in [
+                decode_chunked(&bytes, &[7], frames::decode).map(|m| m.len()),
+                decode_chunked(&bytes, &[7], resp::decode).map(|m| m.len()),
+                decode_chunked(&bytes, &[7], command_channel::decode).map(|m| m.len()),
             ] {
-                prop_assert!(read.unwrap_or(0) <= bytes.len() / 9);
+                prop_assert!(decoded.unwrap_or(0) <= bytes.len() / 9);
             }
         }
     }
