--- a/src/takeover/mod.rs
+++ b/src/takeover/mod.rs
@@ -1,13 +1,13 @@
-//! What two processes of one instance agree on while one takes over from the other: who may ([`Offers`]), the lines that
-//! pass between them, and the state that goes along in a file ([`TakeoverState`]). No input or output; the driver is
-//! `src/proxy/takeover.rs`.
+//! Takeover of an instance by a new process: the decision which process may take over ([`Offers`]), the messages
+//! between the two processes, which are lines of JSON, and the state that is handed over in a file
+//! ([`TakeoverState`]). The module does no I/O; its driver is `src/proxy/takeover.rs`.
 //!
 //! ```text
 //! successor                          predecessor
-//!     -- hello (identity) ------------->        one at a time; a second one is told that it is busy
+//!     -- hello (identity) ------------->        one successor at a time; a second one gets `busy`
 //!     <---- offer (the listener) ------
-//!     -- serving --------------------->         accepts no more connections
-//!     <---- its end -------------------         the successor has all bounds to itself
+//!     -- serving --------------------->         stops accepting connections
+//!     <---- connection closed ---------         exits; the successor no longer shares the resource bounds
 //! ```
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
@@ -21,61 +21,61 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version of the lines and of the file.
+/// Version of the messages and of the state file.
 const VERSION: u32 = 1;
-/// Most bytes of a line that are read.
+/// Maximum number of bytes read for a line.
 pub const MAX_LINE_BYTES: usize = 1024;
 
-/// Which instance a process is of.
+/// The identity of an instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Identity {
-    /// The instance's name.
+    /// Name of the instance.
     pub name: String,
-    /// Where its clients connect.
+    /// Address at which clients connect to the instance.
     pub listen: SocketAddr,
 }
 
-/// A line from the successor.
+/// A message from the successor.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FromSuccessor {
-    /// It has started.
+    /// The successor has started.
     Hello {
-        /// The version of the lines that it speaks.
+        /// Version of the successor's messages.
         version: u32,
-        /// Whose process it is.
+        /// Instance of the successor.
         #[serde(rename = "who")]
         identity: Identity,
     },
-    /// It takes clients.
+    /// The successor serves clients.
     Serving {
-        /// Whether by the listener that it was offered.
+        /// Whether it accepts them on the offered listener.
         #[serde(rename = "shared")]
         shared_listener: bool,
     },
 }
 
-/// A line from the predecessor.
+/// A message from the predecessor.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FromPredecessor {
-    /// Take over; the listener comes along with it.
+    /// The successor may take over; the listener is passed with this message.
     Offer,
     /// Another process is taking over.
     Busy,
-    /// Not to this process, and why.
+    /// The successor may not take over, for this reason.
     Refused(String),
 }
 
-/// A line as it is sent.
+/// Encodes a message as a line of JSON.
 pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
     let mut text = serde_json::to_vec(message)
-        .expect("a line holds only strings, numbers and booleans, which JSON always can");
+        .expect("messages have only strings, numbers and booleans, which JSON can represent");
     text.push(b'\n');
     text
 }
 
-/// The first line of a successor.
+/// Returns the first message of a successor.
 pub fn hello(identity: Identity) -> FromSuccessor {
     FromSuccessor::Hello { version: VERSION, identity }
 }
--- a/src/takeover/offers.rs
+++ b/src/takeover/offers.rs
@@ -1,20 +1,20 @@
-//! The predecessor's side of a takeover: to which process it offers its listener.
+//! The predecessor's side of a takeover: the process to which it offers its listener.
 
 use super::{FromPredecessor, FromSuccessor, Identity, VERSION};
 
-/// What the predecessor does about a line.
+/// The predecessor's reaction to a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Offer the listener; from now on the instance has two processes.
     Offer,
-    /// Send this line and end the connection.
+    /// Send this message and close the connection.
     Refuse(FromPredecessor),
-    /// The successor takes clients.
+    /// Stop accepting clients, because the successor serves them.
     Replaced {
         /// See [`FromSuccessor::Serving`].
         shared_listener: bool,
     },
-    /// Nothing follows.
+    /// Do nothing.
     Nothing,
 }
 
@@ -25,7 +25,7 @@
     is_serving: bool,
 }
 
-/// Offers the listener to one successor at a time; `K` names a connection.
+/// Offers the listener to one successor at a time. `K` identifies a connection.
 #[derive(Clone, Debug)]
 pub struct Offers<K> {
     identity: Identity,
@@ -33,22 +33,22 @@
 }
 
 impl<K: Copy + PartialEq> Offers<K> {
-    /// No process has come yet.
+    /// Creates the state without a successor.
     pub fn new(identity: Identity) -> Self {
         Offers { identity, successor: None }
     }
 
-    /// Whether another process is there.
+    /// Whether there is a successor.
     pub fn has_successor(&self) -> bool {
         self.successor.is_some()
     }
 
-    /// Whether this connection is that process's.
+    /// Whether this is the successor's connection.
     pub fn is_successor(&self, connection: K) -> bool {
         self.successor.is_some_and(|successor| successor.connection == connection)
     }
 
-    /// Takes a line that came on a connection.
+    /// Handles a line that was received on a connection.
     pub fn line(&mut self, connection: K, text: &[u8]) -> Action {
         match serde_json::from_slice(text) {
             Ok(FromSuccessor::Hello { version, identity }) => self.hello(connection, version, &identity),
@@ -81,7 +81,8 @@
         }
     }
 
-    /// A connection has ended; `true`: it was the successor's, and this process is alone again.
+    /// Handles the end of a connection. Returns whether it was the successor's, so that this process is the only one
+    /// again.
     pub fn ended(&mut self, connection: K) -> bool {
         let was_successor = self.is_successor(connection);
         if was_successor {
--- a/src/takeover/state.rs
+++ b/src/takeover/state.rs
@@ -1,26 +1,26 @@
-//! The state that a process leaves its successor in a file: a head with version and checksum, then JSON.
+//! The state that a process hands over to its successor in a file: a header line with version and checksum, then JSON.
 
 use super::{Identity, VERSION};
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a file that are read.
+/// Maximum size of a state file in bytes.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
-/// Most purges that go along; each is in force for some seconds only.
+/// Maximum number of purges in a state file; each purge is in force for some seconds only.
 pub const MAX_PURGES: usize = 16_384;
 
 /// A purge that is in force.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(from = "StoredPurge", into = "StoredPurge")]
 pub struct PurgeInForce {
-    /// The object; `None`: a whole group.
+    /// The purged object, or `None` if a group is purged.
     pub object: Option<u64>,
-    /// The group; without meaning where there is an object.
+    /// The purged group; not used if there is an object.
     pub group: u64,
-    /// The Unix millisecond of the purge.
+    /// Unix time of the purge in milliseconds.
     pub purged_ms: u64,
 }
 
-/// A purge as the file has it: object, group and Unix millisecond.
+/// The stored form of a purge: object, group and Unix time in milliseconds.
 type StoredPurge = (Option<u64>, u64, u64);
 
 impl From<StoredPurge> for PurgeInForce {
@@ -35,55 +35,58 @@
     }
 }
 
-/// What goes along in the file.
+/// The state that is handed over in the file.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct TakeoverState {
-    /// Whose it is.
+    /// Instance to which the state belongs.
     #[serde(rename = "who")]
     pub identity: Identity,
     /// Purges in force, oldest first.
     pub purges: Vec<PurgeInForce>,
-    /// The Unix millisecond of the writing, by the clock that dated the purges; `None` from versions that do not tell
-    /// it. It keeps the ages of the purges right where the wall clock is stepped between two processes.
+    /// Unix time in milliseconds at which the state was written, by the clock that dated the purges; `None` in files of
+    /// versions without this field. It keeps the ages of the purges correct if the wall clock is stepped between the
+    /// two processes.
     #[serde(default)]
     pub written_ms: Option<u64>,
 }
 
-/// Why a file is not used.
+/// Why a state file is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// Not a file of this kind and version.
-    #[error("not a state of this version; purges come with the configuration and the command channel")]
+    /// The file is no state file of this version.
+    #[error(
+        "not a state file of this version; purges are read from the configuration and the command channel"
+    )]
     UnknownFormat,
-    /// Its end is missing, or bytes have changed.
-    #[error("cut short or changed; see whether the folder's disk is full")]
+    /// The file is truncated or corrupt.
+    #[error("state file is truncated or corrupt; check whether the disk of its folder is full")]
     Corrupt,
-    /// Another instance's, or with more purges than may be.
-    #[error("another instance's; give each instance a name and an address of its own")]
+    /// The file belongs to another instance, or has too many purges.
+    #[error("state file belongs to another instance; give each instance its own name and address")]
     OtherInstance,
 }
 
 impl TakeoverState {
-    /// The file.
+    /// Encodes the state as the contents of a file.
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_vec(self)
-            .expect("a state holds only strings, numbers and lists, which JSON always can");
+            .expect("a state has only strings, numbers and lists, which JSON can represent");
         let checksum = crc32fast::hash(&body);
         let mut file = format!("larchdale-state {VERSION} {checksum:08x}\n").into_bytes();
         file.extend(body);
         file
     }
 
-    /// Reads the file of one's own instance.
+    /// Decodes the contents of a state file of the instance with this identity.
     ///
     /// # Errors
-    /// The file is of another kind, version or instance, or it was damaged.
+    /// Returns an error if the file has another format or version, is corrupt, or belongs to another instance.
     pub fn decode(file: &[u8], identity: &Identity) -> Result<TakeoverState, StateError> {
-        let head_end = file.iter().position(|&byte| byte == b'\n').ok_or(StateError::UnknownFormat)?;
-        let head = std::str::from_utf8(&file[..head_end]).map_err(|_| StateError::UnknownFormat)?;
+        let header_end = file.iter().position(|&byte| byte == b'\n').ok_or(StateError::UnknownFormat)?;
+        let header = std::str::from_utf8(&file[..header_end]).map_err(|_| StateError::UnknownFormat)?;
         let prefix = format!("larchdale-state {VERSION} ");
-        let checksum = head.strip_prefix(&prefix).ok_or(StateError::UnknownFormat)?;
-        let body = &file[head_end + 1..];
+        let checksum = header.strip_prefix(&prefix).ok_or(StateError::UnknownFormat)?;
+        let body = &file[header_end + 1..];
         if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(body)) {
             return Err(StateError::Corrupt);
         }
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -5,46 +5,50 @@
     Identity { name: name.to_owned(), listen: "127.0.0.1:9090".parse().unwrap() }
 }
 
-fn say(offers: &mut Offers<u8>, from: u8, message: &FromSuccessor) -> Action {
-    offers.line(from, &encode_line(message))
+fn handle(offers: &mut Offers<u8>, connection: u8, message: &FromSuccessor) -> Action {
+    offers.line(connection, &encode_line(message))
 }
 
 #[test]
-fn one_successor_at_a_time_and_only_ones_own() {
+fn the_listener_is_offered_to_one_process_of_the_same_instance_at_a_time() {
     let mut offers = Offers::new(identity("n0"));
-    for (message, why) in [
+    for (message, reason) in [
         (hello(identity("n1")), "this is n0 at 127.0.0.1:9090"),
         (FromSuccessor::Hello { version: 9, identity: identity("n0") }, "version 9"),
     ] {
         assert!(
-            matches!(say(&mut offers, 1, &message), Action::Refuse(FromPredecessor::Refused(w)) if w.contains(why))
+            matches!(handle(&mut offers, 1, &message), Action::Refuse(FromPredecessor::Refused(text)) if text.contains(reason))
         );
     }
     assert!(matches!(offers.line(1, b"GET / HTTP/1.1\r\n"), Action::Refuse(_)));
     assert_eq!(
-        say(&mut offers, 1, &FromSuccessor::Serving { shared_listener: true }),
+        handle(&mut offers, 1, &FromSuccessor::Serving { shared_listener: true }),
         Action::Nothing,
-        "nobody said hello"
+        "no process has sent hello"
     );
-    assert_eq!(say(&mut offers, 1, &hello(identity("n0"))), Action::Offer);
-    assert_eq!(say(&mut offers, 2, &hello(identity("n0"))), Action::Refuse(FromPredecessor::Busy));
-    assert_eq!(say(&mut offers, 2, &FromSuccessor::Serving { shared_listener: true }), Action::Nothing);
+    assert_eq!(handle(&mut offers, 1, &hello(identity("n0"))), Action::Offer);
+    assert_eq!(handle(&mut offers, 2, &hello(identity("n0"))), Action::Refuse(FromPredecessor::Busy));
+    assert_eq!(handle(&mut offers, 2, &FromSuccessor::Serving { shared_listener: true }), Action::Nothing);
     assert!(!offers.ended(2) && offers.has_successor());
     assert_eq!(
-        say(&mut offers, 1, &FromSuccessor::Serving { shared_listener: false }),
+        handle(&mut offers, 1, &FromSuccessor::Serving { shared_listener: false }),
         Action::Replaced { shared_listener: false }
     );
     assert_eq!(
-        say(&mut offers, 1, &FromSuccessor::Serving { shared_listener: true }),
+        handle(&mut offers, 1, &FromSuccessor::Serving { shared_listener: true }),
         Action::Nothing,
-        "once only"
+        "replaces only once"
     );
     assert!(offers.ended(1) && !offers.has_successor());
-    assert_eq!(say(&mut offers, 3, &hello(identity("n0"))), Action::Offer, "the next one may");
+    assert_eq!(
+        handle(&mut offers, 3, &hello(identity("n0"))),
+        Action::Offer,
+        "the next process gets an offer"
+    );
 }
 
 #[test]
-fn a_file_is_used_whole_and_by_its_own_instance_only() {
+fn a_state_file_is_accepted_only_if_intact_and_of_the_same_instance() {
     let state = TakeoverState {
         identity: identity("n0"),
         purges: vec![
@@ -56,11 +60,11 @@
     let file = state.encode();
     assert_eq!(TakeoverState::decode(&file, &identity("n0")), Ok(state));
     assert_eq!(TakeoverState::decode(&file, &identity("n1")), Err(StateError::OtherInstance));
-    for cut in 0..file.len() {
-        assert!(TakeoverState::decode(&file[..cut], &identity("n0")).is_err(), "cut to {cut}");
-        let mut changed = file.clone();
-        changed[cut] ^= 1;
-        assert!(TakeoverState::decode(&changed, &identity("n0")).is_err(), "changed at {cut}");
+    for at in 0..file.len() {
+        assert!(TakeoverState::decode(&file[..at], &identity("n0")).is_err(), "truncated to {at}");
+        let mut corrupt = file.clone();
+        corrupt[at] ^= 1;
+        assert!(TakeoverState::decode(&corrupt, &identity("n0")).is_err(), "corrupt at {at}");
     }
     assert_eq!(TakeoverState::decode(b"PK\x03\x04\n", &identity("n0")), Err(StateError::UnknownFormat));
 }
@@ -68,34 +72,35 @@
 proptest! {
     #![proptest_config(crate::net::testing::config())]
 
-    /// Whatever is said by whomever: there is one successor at most, only it can replace, and only once.
+    /// For any lines on any connections there is at most one successor, only it can replace this process, and only
+    /// once.
     #[test]
-    fn nobody_replaces_who_was_not_offered(steps in prop::collection::vec((0u8..4, 0u8..5), 0..60)) {
+    fn only_the_process_with_the_offer_replaces_the_predecessor(steps in prop::collection::vec((0u8..4, 0u8..5), 0..60)) {
         let mut offers = Offers::new(identity("n0"));
         let mut model: Option<(u8, bool)> = None;
-        for (what, from) in steps {
-            let step = match what {
-                0 => say(&mut offers, from, &hello(identity("n0"))),
-                1 => say(&mut offers, from, &FromSuccessor::Serving { shared_listener: true }),
-                2 => offers.line(from, &[from; 9]),
+        for (kind, connection) in steps {
+            let action = match kind {
+                0 => handle(&mut offers, connection, &hello(identity("n0"))),
+                1 => handle(&mut offers, connection, &FromSuccessor::Serving { shared_listener: true }),
+                2 => offers.line(connection, &[connection; 9]),
                 _ => {
-                    let was = model.is_some_and(|m| m.0 == from);
-                    prop_assert_eq!(offers.ended(from), was);
-                    model = model.filter(|m| m.0 != from);
+                    let was_successor = model.is_some_and(|m| m.0 == connection);
+                    prop_assert_eq!(offers.ended(connection), was_successor);
+                    model = model.filter(|m| m.0 != connection);
                     continue;
                 }
             };
-            match step {
+            match action {
                 Action::Offer => {
-                    prop_assert!(model.is_none() && what == 0);
-                    model = Some((from, false));
+                    prop_assert!(model.is_none() && kind == 0);
+                    model = Some((connection, false));
                 }
                 Action::Replaced { .. } => {
-                    prop_assert_eq!(model, Some((from, false)));
-                    model = Some((from, true));
+                    prop_assert_eq!(model, Some((connection, false)));
+                    model = Some((connection, true));
                 }
-                Action::Refuse(_) => prop_assert!(what == 2 || model.is_some()),
-                Action::Nothing => prop_assert!(what == 1 && model != Some((from, false))),
+                Action::Refuse(_) => prop_assert!(kind == 2 || model.is_some()),
+                Action::Nothing => prop_assert!(kind == 1 && model != Some((connection, false))),
             }
             prop_assert_eq!(offers.has_successor(), model.is_some());
         }
