--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -311,7 +311,7 @@
                 Received::Incomplete => return lifecycle_event,
                 Received::Closed => break,
             };
-            match takeover.offers.line(token, &line) {
+            match takeover.offers.handle_line(token, &line) {
                 Action::Offer => {
                     if !self.offer_listener(takeover, token) {
                         break;
--- a/src/takeover/offers.rs
+++ b/src/takeover/offers.rs
@@ -49,7 +49,7 @@
     }
 
     /// Handles a line that was received on a connection.
-    pub fn line(&mut self, connection: K, text: &[u8]) -> Action {
+    pub fn handle_line(&mut self, connection: K, text: &[u8]) -> Action {
         match serde_json::from_slice(text) {
             Ok(FromSuccessor::Hello { version, identity }) => self.hello(connection, version, &identity),
             Ok(FromSuccessor::Serving { shared_listener }) => self.serving(connection, shared_listener),
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -6,7 +6,7 @@
 }
 
 fn handle(offers: &mut Offers<u8>, connection: u8, message: &FromSuccessor) -> Action {
-    offers.line(connection, &encode_line(message))
+    offers.handle_line(connection, &encode_line(message))
 }
 
 #[test]
@@ -20,7 +20,7 @@
             matches!(handle(&mut offers, 1, &message), Action::Refuse(FromPredecessor::Refused(text)) if text.contains(reason))
         );
     }
-    assert!(matches!(offers.line(1, b"GET / HTTP/1.1\r\n"), Action::Refuse(_)));
+    assert!(matches!(offers.handle_line(1, b"GET / HTTP/1.1\r\n"), Action::Refuse(_)));
     assert_eq!(
         handle(&mut offers, 1, &FromSuccessor::Serving { shared_listener: true }),
         Action::Nothing,
@@ -82,7 +82,7 @@
             let action = match kind {
                 0 => handle(&mut offers, connection, &hello(identity("n0"))),
                 1 => handle(&mut offers, connection, &FromSuccessor::Serving { shared_listener: true }),
-                2 => offers.line(connection, &[connection; 9]),
+                2 => offers.handle_line(connection, &[connection; 9]),
                 _ => {
                     let was_successor = model.is_some_and(|m| m.0 == connection);
                     prop_assert_eq!(offers.ended(connection), was_successor);
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -315,8 +315,8 @@
     let read = |line: &&[u8]| serde_json::from_slice::<FromSuccessor>(line).unwrap();
     assert_eq!(lines.iter().map(read).collect::<Vec<_>>(), from_successor);
     let mut offers = Offers::new(identity());
-    assert_eq!(offers.line(1, lines[0]), takeover::Action::Offer);
-    assert_eq!(offers.line(1, lines[1]), takeover::Action::Replaced { shared_listener: true });
+    assert_eq!(offers.handle_line(1, lines[0]), takeover::Action::Offer);
+    assert_eq!(offers.handle_line(1, lines[1]), takeover::Action::Replaced { shared_listener: true });
 
     let written = from_predecessor.iter().map(takeover::encode_line).collect::<Vec<_>>().concat();
     let stored = same_as_stored("stored/handover-predecessor.jsonl", &written);
