--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -330,7 +330,7 @@
             }
         }
         takeover.connected.remove(&token);
-        if takeover.offers.ended(token) {
+        if takeover.offers.handle_disconnect(token) {
             info!(self.log, "the successor has ended");
             // The socket's path has referred to the successor's socket since it began to serve.
             takeover.await_successor(self.now, &mut self.event_loop, &self.log);
--- a/src/takeover/offers.rs
+++ b/src/takeover/offers.rs
@@ -83,7 +83,7 @@
 
     /// Handles the end of a connection. Returns whether it was the successor's, so that this process is the only one
     /// again.
-    pub fn ended(&mut self, connection: K) -> bool {
+    pub fn handle_disconnect(&mut self, connection: K) -> bool {
         let was_successor = self.is_successor(connection);
         if was_successor {
             self.successor = None;
--- a/src/takeover/tests.rs
+++ b/src/takeover/tests.rs
@@ -29,7 +29,7 @@
     assert_eq!(handle(&mut offers, 1, &hello(identity("n0"))), Action::Offer);
     assert_eq!(handle(&mut offers, 2, &hello(identity("n0"))), Action::Refuse(FromPredecessor::Busy));
     assert_eq!(handle(&mut offers, 2, &FromSuccessor::Serving { shared_listener: true }), Action::Nothing);
-    assert!(!offers.ended(2) && offers.has_successor());
+    assert!(!offers.handle_disconnect(2) && offers.has_successor());
     assert_eq!(
         handle(&mut offers, 1, &FromSuccessor::Serving { shared_listener: false }),
         Action::Replaced { shared_listener: false }
@@ -39,7 +39,7 @@
         Action::Nothing,
         "replaces only once"
     );
-    assert!(offers.ended(1) && !offers.has_successor());
+    assert!(offers.handle_disconnect(1) && !offers.has_successor());
     assert_eq!(
         handle(&mut offers, 3, &hello(identity("n0"))),
         Action::Offer,
@@ -85,7 +85,7 @@
                 2 => offers.handle_line(connection, &[connection; 9]),
                 _ => {
                     let was_successor = model.is_some_and(|m| m.0 == connection);
-                    prop_assert_eq!(offers.ended(connection), was_successor);
+                    prop_assert_eq!(offers.handle_disconnect(connection), was_successor);
                     model = model.filter(|m| m.0 != connection);
                     continue;
                 }
