--- a/src/net/bounds.rs
+++ b/src/net/bounds.rs
@@ -52,7 +52,7 @@
 impl Bounds {
     /// Derives the bounds from `limits`. `has_admin` says whether there is an admin endpoint, `is_shared` whether two
     /// processes share the limits.
-    pub fn of(limits: &Limits, has_admin: bool, is_shared: bool) -> Self {
+    pub fn from_limits(limits: &Limits, has_admin: bool, is_shared: bool) -> Self {
         let processes = 1 + usize::from(is_shared);
         let reserved = RESERVED_DESCRIPTORS + if has_admin { ADMIN_DESCRIPTORS } else { 0 };
         let sockets = limits.sockets / processes;
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -161,7 +161,7 @@
         classes.apply(now, &config.settings);
         let is_shared = takeover.as_ref().is_some_and(Takeover::has_other_process);
         let router = Router::new(classes.for_router(&config.settings, is_shared), config.seed);
-        let bounds = Bounds::of(&config.limits, admin.is_some(), is_shared);
+        let bounds = Bounds::from_limits(&config.limits, admin.is_some(), is_shared);
         let multiplex = config.settings.limits.multiplex;
         Proxy {
             log,
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -159,7 +159,7 @@
     let mut slow = f.w.client();
     slow.put(&bytes[..20]);
     f.w.until("half a request", |d| d.clients.values().any(|c| c.conn.has_partial_message()).then_some(()));
-    let half = Bounds::of(&f.w.proxy.configuration.limits, true, true).clients;
+    let half = Bounds::from_limits(&f.w.proxy.configuration.limits, true, true).clients;
     let mut others: Vec<Peer> = (0..half).map(|_| f.w.client()).collect();
     for other in &mut others {
         other.put(&frame(1, 5, &[0]));
