--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -35,7 +35,7 @@
 }
 
 /// Classifies an error of `accept`.
-pub fn failure(error: &io::Error) -> Failure {
+pub fn classify(error: &io::Error) -> Failure {
     let is = |codes: &[Errno]| codes.iter().any(|c| error.raw_os_error() == Some(c.raw_os_error()));
     match error.kind() {
         ErrorKind::WouldBlock => Failure::Empty,
--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -50,7 +50,7 @@
                     accepted += 1;
                     self.admit(stream);
                 }
-                Err(error) => match accept::failure(&error) {
+                Err(error) => match accept::classify(&error) {
                     Failure::Empty => return,
                     Failure::ConnectionLost => self.metrics.accept_failures += 1,
                     reason @ (Failure::NoDescriptor | Failure::NoResources) => {
