--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -207,7 +207,7 @@
             self.ready = ready;
             // Those that were set meanwhile have the next round.
             let mut turns = Vec::new();
-            while let Some((at, n)) = self.timers.due(now) {
+            while let Some((at, n)) = self.timers.pop_due(now) {
                 if self.due[n] == at {
                     self.due[n] = Micros::MAX;
                     turns.push(n);
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -68,7 +68,7 @@
     }
 
     /// Removes and returns the next due timer with its due time, if there is one.
-    pub fn due(&mut self, now: Micros) -> Option<(Micros, T)> {
+    pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, T)> {
         self.heap.peek().filter(|t| t.0 .0 <= now)?;
         self.heap.pop().map(|Reverse((at, _, payload))| (at, payload.0))
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -192,7 +192,7 @@
 
     /// Handles all timers that were due at `moment`.
     fn handle_due_timers(&mut self, moment: Micros) {
-        while let Some((due_at, timer)) = self.timers.due(moment) {
+        while let Some((due_at, timer)) = self.timers.pop_due(moment) {
             self.metrics.max_timer_delay = self.metrics.max_timer_delay.max(self.now - due_at);
             self.handle_timer(timer);
             self.process_events();
