--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -162,7 +162,7 @@
     /// Applies a purge that was made at `made_unix_ms`, by the clock of its sender, to the local cache and
     /// the router.
     fn purge(&mut self, scope: Purge, made_unix_ms: u64) {
-        let age = self.now - self.timestamps.event(self.now, made_unix_ms);
+        let age = self.now - self.timestamps.event_time(self.now, made_unix_ms);
         debug!(self.log, "purge"; "scope" => ?scope, "age_ms" => age / MILLISECOND);
         self.purges.add(self.now, scope, made_unix_ms);
         self.purge_local_cache(scope);
--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -378,7 +378,7 @@
         let Some(state) = takeover.and_then(|takeover| takeover.inherited_state(&self.log)) else { return };
         info!(self.log, "taking over"; "purges" => state.purges.len());
         if let Some(written_ms) = state.written_ms {
-            self.timestamps.event(self.now, written_ms);
+            self.timestamps.event_time(self.now, written_ms);
         }
         for PurgeInForce { object, group, purged_ms } in state.purges {
             let scope = object.map_or(Purge::Group(group), Purge::Object);
--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the time of an event that is received now: never in the future, and no earlier than either offset allows.
-    pub fn event(&mut self, now: Micros, unix_ms: u64) -> Micros {
+    pub fn event_time(&mut self, now: Micros, unix_ms: u64) -> Micros {
         self.note_event(now, unix_ms);
         let event_offset = self.event_offset.unwrap_or(self.wall_offset);
         let time = micros(unix_ms).saturating_sub(self.wall_offset.min(event_offset));
@@ -90,7 +90,7 @@
         if let Some((_, time)) = known.filter(|(known_ms, _)| *known_ms == unix_ms) {
             return time;
         }
-        let reported = self.event(now, unix_ms);
+        let reported = self.event_time(now, unix_ms);
         let goes_back = known.is_some_and(|(known_ms, _)| unix_ms < known_ms);
         let too_old = match report {
             StartReport::Initial => false,
--- a/src/timestamps/tests.rs
+++ b/src/timestamps/tests.rs
@@ -18,11 +18,11 @@
     for seconds in [-3_600, -5, 0, 5, 3_600] {
         let mut timestamps = with_wall_clock_off_by(seconds);
         // The first event is the only reference: it is received now, so it was made now at the latest.
-        let first = timestamps.event(NOW, UNIX_MS);
+        let first = timestamps.event_time(NOW, UNIX_MS);
         assert!(first <= NOW, "{seconds}");
         assert!(seconds < 0 || first == NOW, "off by {seconds} s: {} us old", NOW - first);
         // Ten seconds later an event is received that was made 8 s after the first, two seconds before its receipt.
-        let age = NOW + 10 * S - timestamps.event(NOW + 10 * S, UNIX_MS + 8_000);
+        let age = NOW + 10 * S - timestamps.event_time(NOW + 10 * S, UNIX_MS + 8_000);
         assert!(age <= 2 * S, "off by {seconds} s: {age}");
     }
 }
@@ -45,7 +45,7 @@
         if known {
             timestamps.start(NOW, &server(), UNIX_MS, StartReport::AfterSilence(0));
         }
-        timestamps.event(NOW, UNIX_MS);
+        timestamps.event_time(NOW, UNIX_MS);
         let time =
             timestamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_540_000, StartReport::AfterSilence(0));
         assert_eq!(time, NOW + 60 * S, "known: {known}");
@@ -53,7 +53,7 @@
     // After a silence of an hour, and in the initial list, such an age is plausible.
     for report in [StartReport::AfterSilence(3_600 * S), StartReport::Initial] {
         let mut timestamps = with_wall_clock_off_by(0);
-        timestamps.event(NOW, UNIX_MS);
+        timestamps.event_time(NOW, UNIX_MS);
         let time = timestamps.start(NOW, &server(), UNIX_MS - 1_800_000, report);
         assert_eq!(time, NOW - 1_800 * S);
     }
@@ -69,7 +69,7 @@
         "an overestimated age does no harm"
     );
     let mut behind = with_wall_clock_off_by(-3_600);
-    behind.event(NOW, UNIX_MS - 300);
+    behind.event_time(NOW, UNIX_MS - 300);
     assert_eq!(age(&mut behind, UNIX_MS - 3_607_000), NOW, "an event shows that the clock is behind");
     assert_eq!(
         age(&mut with_wall_clock_off_by(-3_600), UNIX_MS - 7_000),
