--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -141,7 +141,7 @@
         } else {
             StartReport::Initial
         };
-        let started = timestamps.start(now, &id, record.started_ms, received);
+        let started = timestamps.start_time(now, &id, record.started_ms, received);
         Entry {
             id,
             address: record.address,
@@ -175,7 +175,7 @@
         StartTime::RecordedOrNow => StartReport::AfterSilence(0),
         StartTime::Unknown | StartTime::Recorded => StartReport::Initial,
     };
-    let recorded = timestamps.start(now, &id, endpoint.started_ms, received);
+    let recorded = timestamps.start_time(now, &id, endpoint.started_ms, received);
     Entry {
         id,
         address: endpoint.address,
--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -82,7 +82,7 @@
     /// Returns the time at which a server started, or 0, which means long ago, if its record has no start time.
     /// Guards slow start: a start keeps the time that was first derived for it, and an implausibly old one counts as
     /// `now`.
-    pub fn start(&mut self, now: Micros, server: &Id, unix_ms: u64, report: StartReport) -> Micros {
+    pub fn start_time(&mut self, now: Micros, server: &Id, unix_ms: u64, report: StartReport) -> Micros {
         if unix_ms == 0 {
             return 0;
         }
--- a/src/timestamps/tests.rs
+++ b/src/timestamps/tests.rs
@@ -30,11 +30,11 @@
 #[test]
 fn a_start_keeps_the_time_first_derived_for_it() {
     let mut timestamps = with_wall_clock_off_by(0);
-    let first = timestamps.start(NOW, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
+    let first = timestamps.start_time(NOW, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
     assert_eq!(first, NOW, "no other reference shows its age");
-    let again = timestamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
+    let again = timestamps.start_time(NOW + 60 * S, &server(), UNIX_MS - 3_000, StartReport::AfterSilence(0));
     assert_eq!(again, first);
-    assert_eq!(timestamps.start(NOW, &server(), 0, StartReport::Initial), 0);
+    assert_eq!(timestamps.start_time(NOW, &server(), 0, StartReport::Initial), 0);
 }
 
 #[test]
@@ -43,18 +43,18 @@
     for known in [true, false] {
         let mut timestamps = with_wall_clock_off_by(0);
         if known {
-            timestamps.start(NOW, &server(), UNIX_MS, StartReport::AfterSilence(0));
+            timestamps.start_time(NOW, &server(), UNIX_MS, StartReport::AfterSilence(0));
         }
         timestamps.event_time(NOW, UNIX_MS);
         let time =
-            timestamps.start(NOW + 60 * S, &server(), UNIX_MS - 3_540_000, StartReport::AfterSilence(0));
+            timestamps.start_time(NOW + 60 * S, &server(), UNIX_MS - 3_540_000, StartReport::AfterSilence(0));
         assert_eq!(time, NOW + 60 * S, "known: {known}");
     }
     // After a silence of an hour, and in the initial list, such an age is plausible.
     for report in [StartReport::AfterSilence(3_600 * S), StartReport::Initial] {
         let mut timestamps = with_wall_clock_off_by(0);
         timestamps.event_time(NOW, UNIX_MS);
-        let time = timestamps.start(NOW, &server(), UNIX_MS - 1_800_000, report);
+        let time = timestamps.start_time(NOW, &server(), UNIX_MS - 1_800_000, report);
         assert_eq!(time, NOW - 1_800 * S);
     }
 }
