--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -21,8 +21,8 @@
 fn unix_milliseconds_convert_to_clock_times_and_0_means_long_ago() {
     let clock = Clock { start: Instant::now(), unix_at_start: 1_700_000_000_000_000 };
     let mut timestamps = clock.timestamps();
-    assert_eq!(timestamps.copy(START_TIME + 500_000, 1_700_000_000_250), START_TIME + 250_000);
-    assert_eq!(timestamps.copy(START_TIME, 1_699_999_999_000), START_TIME - 1_000_000);
-    assert_eq!(timestamps.copy(START_TIME, 0), 0);
+    assert_eq!(timestamps.copy_time(START_TIME + 500_000, 1_700_000_000_250), START_TIME + 250_000);
+    assert_eq!(timestamps.copy_time(START_TIME, 1_699_999_999_000), START_TIME - 1_000_000);
+    assert_eq!(timestamps.copy_time(START_TIME, 0), 0);
     assert_eq!(clock.unix_ms(START_TIME + 250_000), 1_700_000_000_250);
 }
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -61,7 +61,7 @@
         if self.purges.may_void(&active.request, minted_ms, requested_at) {
             return;
         }
-        let minted = self.timestamps.copy(self.now, minted_ms);
+        let minted = self.timestamps.copy_time(self.now, minted_ms);
         if self.purge_log().and_then(|log| log.void_before()).is_some_and(|time| minted <= time) {
             return;
         }
--- a/src/timestamps.rs
+++ b/src/timestamps.rs
@@ -105,7 +105,7 @@
 
     /// Returns the time at which a copy was made, no later than the wall clock at startup allows; or 0, which means long
     /// ago, if the wall clock is known to be behind by an unknown amount.
-    pub fn copy(&mut self, now: Micros, unix_ms: u64) -> Micros {
+    pub fn copy_time(&mut self, now: Micros, unix_ms: u64) -> Micros {
         let is_ahead = |offset: i64| offset.saturating_sub(self.wall_offset) > WALL_CLOCK_TOLERANCE;
         if is_ahead(micros(unix_ms).saturating_sub(signed(now))) {
             self.distrusted_until = now.saturating_add(DISTRUST_TIME);
--- a/src/timestamps/tests.rs
+++ b/src/timestamps/tests.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_copy_is_never_younger_than_the_wall_clock_allows_and_counts_as_old_while_that_clock_is_behind() {
-    let age = |timestamps: &mut Timestamps, unix_ms| NOW - timestamps.copy(NOW, unix_ms);
+    let age = |timestamps: &mut Timestamps, unix_ms| NOW - timestamps.copy_time(NOW, unix_ms);
     assert_eq!(age(&mut with_wall_clock_off_by(0), UNIX_MS - 7_000), 7 * S);
     assert_eq!(
         age(&mut with_wall_clock_off_by(3_600), UNIX_MS - 7_000),
@@ -78,7 +78,7 @@
     );
     // A corrupt timestamp makes the clock distrusted for a limited time only.
     let mut timestamps = with_wall_clock_off_by(0);
-    timestamps.copy(NOW, u64::MAX);
+    timestamps.copy_time(NOW, u64::MAX);
     assert_eq!(age(&mut timestamps, UNIX_MS - 7_000), NOW);
-    assert_eq!(timestamps.copy(NOW + 60 * S, UNIX_MS - 7_000), NOW - 7 * S);
+    assert_eq!(timestamps.copy_time(NOW + 60 * S, UNIX_MS - 7_000), NOW - 7 * S);
 }
