--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -200,7 +200,7 @@
     }
 
     /// Whether an idle connection is to be closed.
-    pub fn closes(&self, now: Micros, connection: IdleConnection) -> bool {
+    pub fn should_close(&self, now: Micros, connection: IdleConnection) -> bool {
         // Without a successor, a stopping process closes the connection when it exits.
         let closes_leaving = self.phase() != Phase::Stopping || self.replaced.is_some();
         let must_close =
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -31,18 +31,18 @@
         "new requests are still served early in standby"
     );
     assert!(
-        process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
-            && !process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
+        process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
+            && !process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
     );
     assert!(
-        !process.closes(T + SECOND, idle(false, true, SECOND)),
+        !process.should_close(T + SECOND, idle(false, true, SECOND)),
         "a new connection may still bring its request"
     );
     // A second call does not restart the drain.
     process.handle(T + SECOND, Event::Standby).unwrap();
     assert!(
         !process.admits_requests(T + 2 * SECOND)
-            && process.closes(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
+            && process.should_close(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
     );
     assert!(
         !process.closes_partial_messages(T + 3 * SECOND)
@@ -59,10 +59,10 @@
             && !process.closes_partial_messages(now)
     );
     assert!(
-        process.closes(now, idle(true, true, LEAVING_IDLE_TIMEOUT)),
+        process.should_close(now, idle(true, true, LEAVING_IDLE_TIMEOUT)),
         "a client that was told to leave is still disconnected"
     );
-    assert!(!process.closes(now, idle(false, true, LEAVING_IDLE_TIMEOUT)));
+    assert!(!process.should_close(now, idle(false, true, LEAVING_IDLE_TIMEOUT)));
 }
 
 #[test]
@@ -104,7 +104,7 @@
         !process.is_ready()
             && process.accepts_connections()
             && process.admits_requests(T)
-            && !process.closes(T, idle(true, true, SECOND))
+            && !process.should_close(T, idle(true, true, SECOND))
     );
     assert!(!process.may_exit(T + MIN_DRAIN - 1, no_work), "requests may still be on their way");
     assert!(process.may_exit(T + MIN_DRAIN, no_work));
@@ -130,10 +130,10 @@
     let mut process = serving_process();
     process.handle(T, Event::SuccessorServing { shares_listener: true }).unwrap();
     process.handle(T, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(process.is_ready() && process.closes(T, idle(true, true, LEAVING_IDLE_TIMEOUT)));
+    assert!(process.is_ready() && process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT)));
     assert!(
-        !process.closes(T, idle(true, false, LEAVING_IDLE_TIMEOUT))
-            && process.closes(T, idle(true, false, SECOND)),
+        !process.should_close(T, idle(true, false, LEAVING_IDLE_TIMEOUT))
+            && process.should_close(T, idle(true, false, SECOND)),
         "a first request may still arrive"
     );
     assert!(!process.may_exit(T, OpenWork { clients: true, ..no_work }) && process.may_exit(T, no_work));
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -378,7 +378,8 @@
                 had_request: client.has_sent_message(),
                 idle: idle_time,
             };
-            let closes_by_phase = lifecycle.closes(now, connection) && !client.conn.has_partial_message();
+            let closes_by_phase =
+                lifecycle.should_close(now, connection) && !client.conn.has_partial_message();
             client.conn.is_open() && client.is_idle() && (idle_time >= IDLE_TIMEOUT || closes_by_phase)
         };
         let closes_for_shutdown =
--- a/tests/core_decisions/lifecycle.rs
+++ b/tests/core_decisions/lifecycle.rs
@@ -39,12 +39,10 @@
     digest.option(process.drain_deadline(), Digest::number);
     digest.number(process.exit_deadline(now));
     for (is_leaving, had_request) in [(false, false), (false, true), (true, false), (true, true)] {
-        digest.flag(
-            process.closes(
-                now,
-                IdleConnection { is_leaving, had_request, idle: rng.random_range(0..1_500) * MS },
-            ),
-        );
+        digest.flag(process.should_close(
+            now,
+            IdleConnection { is_leaving, had_request, idle: rng.random_range(0..1_500) * MS },
+        ));
     }
     let mut random_flag = || rng.random_ratio(1, 3);
     let open = OpenWork { unanswered: random_flag(), incoming: random_flag(), clients: random_flag() };
