--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -194,7 +194,7 @@
                 return Ok(());
             }
             let now = self.clock.now();
-            let next = self.timers.next().map_or(left, |t| Duration::from_micros(t.saturating_sub(now)));
+            let next = self.timers.next_due().map_or(left, |t| Duration::from_micros(t.saturating_sub(now)));
             let mut ready = std::mem::take(&mut self.ready);
             self.event_loop.wait(next.min(left), &mut ready).map_err(io("poll"))?;
             let now = self.clock.now();
--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the due time of the next timer.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|t| t.0 .0)
     }
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -158,7 +158,7 @@
         let started = self.clock.now();
         let previous_turn = started.saturating_sub(self.now);
         self.metrics.max_turn_duration = self.metrics.max_turn_duration.max(previous_turn);
-        let next_timer = self.timers.next().unwrap_or(self.now + SWEEP_INTERVAL);
+        let next_timer = self.timers.next_due().unwrap_or(self.now + SWEEP_INTERVAL);
         let has_work = !self.unfinished_reads.is_empty() || self.discovery.has_more;
         let wait = if has_work { 0 } else { next_timer.saturating_sub(started) };
         let mut ready = std::mem::take(&mut self.ready);
