--- a/src/net/connection/tests.rs
+++ b/src/net/connection/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::protocol::Malformed;
-use crate::net::testing::{config, Script};
+use crate::net::testing::{config, ScriptedTransport};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
@@ -67,26 +67,26 @@
 }
 
 fn check(accepted: bool, steps: Vec<Step>) {
-    let script = Script::default();
-    let wire = script.0.clone();
+    let transport = ScriptedTransport::default();
+    let peer = transport.0.clone();
     let new = if accepted { Connection::accepted } else { Connection::dialing };
-    let mut conn = new(script, 0);
+    let mut conn = new(transport, 0);
     let (mut owner, mut sent, mut queued) = (Owner::default(), Vec::new(), Vec::new());
     for (now, step) in (1..).zip(steps) {
-        let (before, received, written) = (conn.state(), owner.received.len(), wire.borrow().written.len());
-        let (paused, dial) = (conn.paused, wire.borrow().dial);
-        let blocked = wire.borrow().capacity < conn.backlog();
+        let (before, received, written) = (conn.state(), owner.received.len(), peer.borrow().written.len());
+        let (paused, dial) = (conn.paused, peer.borrow().dial);
+        let blocked = peer.borrow().capacity < conn.backlog();
         let mut may_become = vec![before];
         match step {
             Step::Dial(ok) => {
-                wire.borrow_mut().dial.get_or_insert(ok);
+                peer.borrow_mut().dial.get_or_insert(ok);
             }
             Step::Incoming(byte, count) => {
                 sent.extend(std::iter::repeat_n(byte, count));
-                wire.borrow_mut().incoming.extend(std::iter::repeat_n(byte, count));
+                peer.borrow_mut().incoming.extend(std::iter::repeat_n(byte, count));
             }
-            Step::PeerCloses(error) => wire.borrow_mut().end = Some(error),
-            Step::SetCapacity(capacity) => wire.borrow_mut().capacity = capacity,
+            Step::PeerCloses(error) => peer.borrow_mut().end = Some(error),
+            Step::SetCapacity(capacity) => peer.borrow_mut().capacity = capacity,
             Step::Queue(byte, count) => {
                 conn.queue(vec![byte; count]);
                 if !matches!(before, State::Lingering | State::Closed(_)) {
@@ -125,14 +125,14 @@
                 }
                 if conn.state() == State::Closed(Closed::ByOwner) && before != conn.state() {
                     // Guards the last response: a close with unread input resets the connection and loses it.
-                    let (read, wire) = (wire.borrow().incoming.is_empty(), wire.borrow());
+                    let (read, peer) = (peer.borrow().incoming.is_empty(), peer.borrow());
                     assert!(
-                        conn.discarded > MAX_DISCARDED_BYTES || read && wire.end.is_some(),
+                        conn.discarded > MAX_DISCARDED_BYTES || read && peer.end.is_some(),
                         "closed over unread bytes"
                     );
                 }
                 if conn.state() == State::Closed(Closed::Lost) && before != conn.state() {
-                    assert!(wire.borrow().end.is_some(), "lost without a cause");
+                    assert!(peer.borrow().end.is_some(), "lost without a cause");
                 }
             }
             Step::Flush | Step::Finish => {
@@ -153,7 +153,7 @@
                 };
                 if !blocked && matches!(before, State::Open | State::Discarding | State::Finishing) {
                     assert_eq!(
-                        wire.borrow().written.len(),
+                        peer.borrow().written.len(),
                         queued.len(),
                         "not all output was written although the transport had capacity"
                     );
@@ -174,10 +174,10 @@
         }
         let after = conn.state();
         assert!(may_become.contains(&after), "{before:?} became {after:?}, not one of {may_become:?}");
-        let wire = wire.borrow();
-        assert!(queued.starts_with(&wire.written), "written bytes differ from queued ones");
+        let peer = peer.borrow();
+        assert!(queued.starts_with(&peer.written), "written bytes differ from queued ones");
         assert!(sent.starts_with(&owner.received), "received bytes differ from sent ones");
-        assert_eq!((conn.written(), conn.queued()), (wire.written.len() as u64, queued.len() as u64));
+        assert_eq!((conn.written(), conn.queued()), (peer.written.len() as u64, queued.len() as u64));
         assert_eq!(owner.opened, usize::from(!accepted && owner.opened > 0), "opened once at most");
         let may_receive = matches!(before, State::Open | State::Dialing) && !paused;
         assert!(
@@ -185,10 +185,10 @@
             "received while {before:?}, paused {paused}"
         );
         if after == State::Lingering {
-            assert_eq!(wire.shutdown_at, Some(queued.len()), "shut down before all output was written");
+            assert_eq!(peer.shutdown_at, Some(queued.len()), "shut down before all output was written");
         }
         let may_write = !matches!(before, State::Lingering | State::Closed(_));
-        assert!(may_write || wire.written.len() == written, "wrote while {before:?}");
+        assert!(may_write || peer.written.len() == written, "wrote while {before:?}");
     }
 }
 
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::net::connection::{Callbacks, State};
 use crate::net::protocol::Malformed;
-use crate::net::testing::{config, Script};
+use crate::net::testing::{config, ScriptedTransport};
 use proptest::prelude::*;
 
 const MULTIPLEX: usize = 2;
@@ -60,7 +60,8 @@
 }
 
 fn check(steps: Vec<Step>) {
-    let mut pool: Pool<Script> = Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13_500_000);
+    let mut pool: Pool<ScriptedTransport> =
+        Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13_500_000);
     for endpoint in 0..2 {
         pool.set_address(&name(endpoint), address());
     }
@@ -100,7 +101,7 @@
                     }
                     Choice::Dial(_) => {
                         assert!(pool.tokens(&endpoint).len() < MAX_PER_ENDPOINT && !pool.is_full());
-                        let conn = Connection::dialing(Script::default(), now);
+                        let conn = Connection::dialing(ScriptedTransport::default(), now);
                         next += 1;
                         pool.add(Token(next), UpstreamConnection::new(conn, endpoint, now));
                     }
@@ -157,8 +158,9 @@
                 pool.set_address(&name(endpoint), address());
                 let old = pool.dialed_before(&name(endpoint), now);
                 old.into_iter().for_each(|t| drop(pool.remove(t)));
-                let is_current =
-                    |l: &UpstreamConnection<Script>| l.endpoint != name(endpoint) || l.dialed_at >= now;
+                let is_current = |l: &UpstreamConnection<ScriptedTransport>| {
+                    l.endpoint != name(endpoint) || l.dialed_at >= now
+                };
                 assert!(pool.connections.values().all(is_current), "a connection to the previous process");
             }
         }
@@ -196,8 +198,10 @@
         (MIN_STALE_AFTER / 2, 0, 13 * S),
         (MIN_STALE_AFTER, 0, MIN_STALE_AFTER),
     ] {
-        let mut pool: Pool<Script> = Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13 * S);
-        let mut upstream = UpstreamConnection::new(Connection::accepted(Script::default(), S), name(0), S);
+        let mut pool: Pool<ScriptedTransport> =
+            Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13 * S);
+        let mut upstream =
+            UpstreamConnection::new(Connection::accepted(ScriptedTransport::default(), S), name(0), S);
         upstream.note_sent("a".into(), 0, S + idle);
         pool.note_lost(&upstream, S + idle + after);
         assert_eq!(pool.stale_after, expected, "idle for {idle}, lost after {after}");
--- a/src/net/testing.rs
+++ b/src/net/testing.rs
@@ -9,7 +9,7 @@
 
 /// Scripted behavior of the peer, and what it has received.
 #[derive(Debug, Default)]
-pub struct Wire {
+pub struct ScriptedPeer {
     /// Whether the dial succeeded; `None` while it has not completed.
     pub dial: Option<bool>,
     /// Bytes that the peer has sent and that are not read yet.
@@ -26,9 +26,9 @@
 
 /// A transport whose peer is scripted by the test.
 #[derive(Clone, Debug, Default)]
-pub struct Script(pub Rc<RefCell<Wire>>);
+pub struct ScriptedTransport(pub Rc<RefCell<ScriptedPeer>>);
 
-impl Transport for Script {
+impl Transport for ScriptedTransport {
     fn connected(&self) -> io::Result<bool> {
         match self.0.borrow().dial {
             Some(false) => Err(ErrorKind::ConnectionRefused.into()),
@@ -37,23 +37,23 @@
     }
 
     fn shut_down_writing(&mut self) -> io::Result<()> {
-        let mut wire = self.0.borrow_mut();
-        wire.shutdown_at = Some(wire.written.len());
+        let mut peer = self.0.borrow_mut();
+        peer.shutdown_at = Some(peer.written.len());
         Ok(())
     }
 
     fn peek_unread_bytes(&mut self, buffer: &mut [u8]) -> usize {
-        let wire = self.0.borrow();
-        let unread = wire.incoming.iter().zip(buffer);
+        let peer = self.0.borrow();
+        let unread = peer.incoming.iter().zip(buffer);
         unread.map(|(byte, to)| *to = *byte).count()
     }
 }
 
-impl Read for Script {
+impl Read for ScriptedTransport {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let mut wire = self.0.borrow_mut();
-        match wire.end {
-            _ if !wire.incoming.is_empty() => wire.incoming.read(buffer),
+        let mut peer = self.0.borrow_mut();
+        match peer.end {
+            _ if !peer.incoming.is_empty() => peer.incoming.read(buffer),
             Some(false) => Ok(0),
             Some(true) => Err(ErrorKind::ConnectionReset.into()),
             None => Err(ErrorKind::WouldBlock.into()),
@@ -61,12 +61,12 @@
     }
 }
 
-impl Write for Script {
+impl Write for ScriptedTransport {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut wire = self.0.borrow_mut();
-        let count = bytes.len().min(wire.capacity);
-        wire.capacity -= count;
-        wire.written.extend(&bytes[..count]);
+        let mut peer = self.0.borrow_mut();
+        let count = bytes.len().min(peer.capacity);
+        peer.capacity -= count;
+        peer.written.extend(&bytes[..count]);
         if count == 0 {
             return Err(ErrorKind::WouldBlock.into());
         }
