--- a/src/placement/planner/input.rs
+++ b/src/placement/planner/input.rs
@@ -1,7 +1,7 @@
 //! Input of each planner step, and the conditions derived from it.
 
 use super::super::load::MeasuredShard;
-use super::super::map::{warm_kb_s, ShardMap};
+use super::super::map::{max_warming_kb_s, ShardMap};
 use super::super::moves::{Change, Moves};
 use super::super::quiet::Calendar;
 use super::super::rebalance::EndpointCapacity;
@@ -78,8 +78,8 @@
         Some(if self.is_same_window(moves) { end_ms.min(moves.window_ends_ms) } else { end_ms })
     }
 
-    /// Returns the deadline for deciding on a cutover, in Unix milliseconds: its transaction must have committed or been
-    /// cancelled, which takes up to a lease, before the window ends by any instance's clock.
+    /// Returns the deadline for deciding on a cutover, in Unix milliseconds: its transaction must have committed or
+    /// been cancelled, which takes up to a lease, before the window ends by any instance's clock.
     pub(super) fn last_cutover_ms(&self, window_end_ms: u64) -> u64 {
         window_end_ms.saturating_sub(self.settings.lease / MICROS_PER_MS).saturating_sub(self.skew_ms)
     }
@@ -89,7 +89,7 @@
         let spare_kb_s = self.endpoint(to).map_or(0.0, |endpoint| endpoint.spare_kb_s);
         // Each instance has a fixed share of the rate; the shares of absent instances stay unused.
         let present = self.instances.len() as f64 / f64::from(self.max_instances.max(1));
-        let rate_kb_s = warm_kb_s(self.settings.warm, self.link_kb_s, spare_kb_s) * present.min(1.0);
+        let rate_kb_s = max_warming_kb_s(self.settings.warm, self.link_kb_s, spare_kb_s) * present.min(1.0);
         let span_ms = kb / rate_kb_s * 1_000.0;
         let possible = rate_kb_s > 0.0 && span_ms.is_finite() && span_ms < MAX_WARMING_MS;
         possible.then_some(span_ms.ceil() as u64)
--- a/src/proxy/local_cache.rs
+++ b/src/proxy/local_cache.rs
@@ -16,7 +16,7 @@
     pub(super) fn limit_local_cache(&mut self) {
         let (transfer_bytes_per_s, link_bytes_per_s) = self.configuration.local_cache_link;
         let processes = if self.has_other_process() { 2.0 } else { 1.0 };
-        self.local_cache.limit(Limits {
+        self.local_cache.set_limits(Limits {
             max_bytes: self.bounds.local_cache,
             transfer_bytes_per_s,
             link_bytes_per_s: link_bytes_per_s / processes,
@@ -66,7 +66,12 @@
             return;
         }
         let group = active.request.purge_group;
-        let copy = CachedCopy { tag: tag.to_owned(), minted, group, body: response.body.clone() };
+        let copy = CachedCopy {
+            etag: tag.to_owned(),
+            created_at: minted,
+            purge_group: group,
+            body: response.body.clone(),
+        };
         self.local_cache.insert(self.now, key, copy);
     }
 
@@ -89,7 +94,7 @@
             && class.idempotency == Idempotency::Idempotent
             && request.body.is_empty();
         is_cacheable.then(|| Lookup {
-            key: Key { class: number, object: request.object.1, part: request.chunk },
+            key: Key { class: number, object: request.object.1, chunk: request.chunk },
             fresh_for: class.fresh_for,
             latency_objective: self.latency_objective(class, request.size_kb),
             if_none_match: request.if_none_match.as_deref(),
--- a/tests/placement_model.rs
+++ b/tests/placement_model.rs
@@ -1,5 +1,6 @@
-//! Model check of two planners, the registry and two instances while one shard moves: lost replies, a lease that changes
-//! hands, a window that ends, instances that are late or restart, an endpoint that is removed, and a suspected site.
+//! Model check of two planners, the registry and two instances while one shard moves: lost replies, a lease that
+//! changes hands, a window that ends, instances that are late or restart, an endpoint that is removed, and a suspected
+//! site.
 //!
 //! The planners are the real implementation. The registry is a store with compares and a fence. A transaction without a
 //! reply within a lease's duration is cancelled, as the driver must do. One fault occurs in each run, at any time. To
@@ -133,7 +134,7 @@
         let mut notices = Vec::new();
         let planner = &mut fleet.planners[p];
         let request = planner.step(&input, &mut notices);
-        if !planner.wants_documents() {
+        if !planner.needs_documents() {
             return request;
         }
         fleet.read(p);
@@ -190,7 +191,7 @@
     fn read(&mut self, p: usize) {
         let (map, moves) = (self.map.0.encode(), self.moves.0.encode());
         let documents = (Some((&map[..], self.map.1)), Some((&moves[..], self.moves.1)));
-        self.planners[p].documents(documents.0, documents.1, &mut Vec::new());
+        self.planners[p].update_documents(documents.0, documents.1, &mut Vec::new());
     }
 
     fn warms(&self) -> bool {
@@ -282,12 +283,12 @@
                     f.fences[transaction.planner] = (f.lease.0 == transaction.planner).then_some(f.lease.1);
                 }
                 let answer = if answered { answer } else { TransactionResult::Unknown };
-                f.planners[transaction.planner].answered(transaction.request.id, answer);
+                f.planners[transaction.planner].handle_result(transaction.request.id, answer);
             }
             Action::FailCall(n) => {
                 f.faults -= 1;
                 let (planner, id) = (f.in_flight[n].planner, f.in_flight[n].request.id);
-                f.planners[planner].answered(id, TransactionResult::Unknown);
+                f.planners[planner].handle_result(id, TransactionResult::Unknown);
             }
             Action::TransferLease => {
                 f.faults -= 1;
@@ -309,16 +310,16 @@
                 let (keep, late): (Vec<_>, Vec<_>) = f.in_flight.drain(..).partition(|w| f.tick - w.at <= 1);
                 f.in_flight = keep;
                 for w in late {
-                    f.planners[w.planner].answered(w.request.id, TransactionResult::Unknown);
+                    f.planners[w.planner].handle_result(w.request.id, TransactionResult::Unknown);
                 }
-                // A planner with nothing to decide receives the documents and observes the time. Other planners may stay
-                // paused for any time.
+                // A planner with nothing to decide receives the documents and observes the time. Other planners may
+                // stay paused for any time.
                 for p in 0..2 {
                     let mut idle = f.clone();
-                    if idle.fences[p].is_some() && !idle.planners[p].wants_documents() {
+                    if idle.fences[p].is_some() && !idle.planners[p].needs_documents() {
                         idle.read(p);
                     }
-                    if !idle.planners[p].wants_documents() && self.step(&mut idle, p).is_none() {
+                    if !idle.planners[p].needs_documents() && self.step(&mut idle, p).is_none() {
                         f.planners[p] = idle.planners[p].clone();
                     }
                 }
