--- a/src/net/command_channel.rs
+++ b/src/net/command_channel.rs
@@ -195,7 +195,7 @@
         let was_dialing = connection.state() == State::Dialing;
         connection.ready(now, readable, writable, callbacks);
         connection.flush(now);
-        let has_opened = !matches!(connection.state(), State::Dialing | State::Closed(Closed::NeverOpened));
+        let has_opened = !matches!(connection.state(), State::Dialing | State::Closed(Closed::DialFailed));
         if was_dialing && has_opened {
             self.opened_at = Some(now);
             self.metrics.opened += 1;
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
     /// The dial failed.
-    NeverOpened,
+    DialFailed,
     /// The peer closed the connection, or it failed.
     Lost,
     /// The owner closed the connection.
@@ -251,7 +251,7 @@
                     callbacks.opened();
                 }
                 Ok(false) => return,
-                Err(_) => return self.close_as(Closed::NeverOpened),
+                Err(_) => return self.close_as(Closed::DialFailed),
             }
         }
         if writable {
--- a/src/net/connection/tests.rs
+++ b/src/net/connection/tests.rs
@@ -98,7 +98,7 @@
                 conn.ready(now, readable, writable, &mut owner);
                 match (before, dial) {
                     (State::Dialing, Some(false)) if readable || writable => {
-                        may_become = vec![State::Closed(Closed::NeverOpened)];
+                        may_become = vec![State::Closed(Closed::DialFailed)];
                     }
                     (State::Dialing, Some(true)) if readable || writable => {
                         may_become = vec![State::Open, State::Discarding, State::Closed(Closed::Lost)];
--- a/src/proxy/upstreams.rs
+++ b/src/proxy/upstreams.rs
@@ -221,7 +221,7 @@
     /// Updates metrics and the pool's estimates from how a connection ended.
     fn record_upstream_end(&mut self, upstream: &UpstreamConnection) {
         match upstream.conn.state() {
-            State::Dialing | State::Closed(Closed::NeverOpened) => {
+            State::Dialing | State::Closed(Closed::DialFailed) => {
                 self.metrics.failed_dials += 1;
                 if let Some(started_by) = self.pool.note_unreachable(&upstream.endpoint, upstream.dialed_at) {
                     self.endpoint_restarted(&upstream.endpoint, started_by);
