--- a/src/net/event_loop.rs
+++ b/src/net/event_loop.rs
@@ -104,7 +104,7 @@
     /// Whether the socket can be written to, or a dial has completed or failed.
     pub writable: bool,
     /// Whether the peer has shut down its writing side; bytes that it wrote before may still be unread.
-    pub ended: bool,
+    pub read_closed: bool,
 }
 
 /// Fault injection: returns for each socket to be registered the error with which the registration fails, if any.
@@ -261,7 +261,7 @@
             token: e.token(),
             readable: e.is_readable() || e.is_read_closed() || e.is_error(),
             writable: e.is_writable() || e.is_write_closed() || e.is_error(),
-            ended: e.is_read_closed(),
+            read_closed: e.is_read_closed(),
         }));
         Ok(ready.len() - reported < EVENTS_PER_POLL)
     }
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -427,7 +427,7 @@
         // A client that closes its side has abandoned all its requests, including those just received. It is
         // sent an error only if it violated the protocol.
         let has_disconnected =
-            event.ended && client.conn.is_open() || matches!(client.conn.state(), State::Closed(_));
+            event.read_closed && client.conn.is_open() || matches!(client.conn.state(), State::Closed(_));
         if has_disconnected {
             return self.drop_client(token);
         }
@@ -443,7 +443,7 @@
             self.handle_messages(token, valid.messages);
         }
         let Some(client) = self.clients.get(&token) else { return };
-        if client.conn.is_discarding() && (event.ended || client.conn.has_peer_closed()) {
+        if client.conn.is_discarding() && (event.read_closed || client.conn.has_peer_closed()) {
             self.finish_client(token);
         }
     }
@@ -454,7 +454,7 @@
     pub(super) fn read_client(&mut self, token: Token) -> bool {
         let message_count = |proxy: &Proxy| proxy.clients.get(&token).map(|client| client.message_count);
         let before = message_count(self);
-        self.client_ready(Ready { token, readable: true, writable: false, ended: false });
+        self.client_ready(Ready { token, readable: true, writable: false, read_closed: false });
         message_count(self) != before
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -174,7 +174,12 @@
     /// after its own input is read and before any input whose handling depends on it.
     fn handle_input(&mut self, ready: &mut Vec<Ready>) {
         let unfinished = std::mem::take(&mut self.unfinished_reads).into_iter();
-        ready.extend(unfinished.map(|token| Ready { token, readable: false, writable: false, ended: false }));
+        ready.extend(unfinished.map(|token| Ready {
+            token,
+            readable: false,
+            writable: false,
+            read_closed: false,
+        }));
         ready.sort_by_key(|event| self.input_order(event));
         let of_purge_log = ready.partition_point(|event| self.input_order(event) <= InputOrder::PurgeLog);
         for event in ready.drain(..of_purge_log) {
@@ -209,7 +214,7 @@
         if self.discovery.owns(event.token) {
             return InputOrder::Discovery;
         }
-        match (self.clients.contains(&event.token), event.ended) {
+        match (self.clients.contains(&event.token), event.read_closed) {
             (true, true) => InputOrder::DepartingClient,
             (false, _) => InputOrder::Upstream,
             (true, false) => InputOrder::Client,
--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -73,7 +73,7 @@
     /// Has the instance read its watch now, before anything else that the poll has to tell.
     fn watch_first(&mut self) {
         let token = self.proxy.discovery.command_channel.token().unwrap();
-        self.proxy.handle_ready(Ready { token, readable: true, writable: false, ended: false });
+        self.proxy.handle_ready(Ready { token, readable: true, writable: false, read_closed: false });
     }
 
     fn metrics(&self) -> Metrics {
@@ -232,7 +232,7 @@
     let mut config = w.config.clone();
     config["channel"] = elsewhere.local_addr().unwrap().to_string().into();
     assert!(w.reconfigure("older", &config.to_string()));
-    w.proxy.handle_ready(Ready { token, readable: true, writable: true, ended: false });
+    w.proxy.handle_ready(Ready { token, readable: true, writable: true, read_closed: false });
     w.channel = elsewhere;
     let (mut new, cursor) = w.watch();
     assert_eq!((cursor, w.proxy.discovery.command_channel.cursor()), (CURSOR, CURSOR));
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -616,7 +616,7 @@
         let token = *d.pool.iter().find(|l| l.1.in_flight.contains_key(&id)).unwrap().0;
         let link = d.pool.get_mut(token).unwrap();
         assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "never broke");
-        d.handle_ready(Ready { token, readable: true, writable: false, ended: true });
+        d.handle_ready(Ready { token, readable: true, writable: false, read_closed: true });
         storm.note();
         storm.turn();
         storm.clients.clear();
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -27,8 +27,8 @@
     /// Takes what its one client did before all else that the poll may tell of.
     fn hear_client(&mut self) {
         self.brought();
-        let (token, readable, writable, ended) = (self.only_client(), true, false, false);
-        self.proxy.handle_ready(Ready { token, readable, writable, ended });
+        let (token, readable, writable, read_closed) = (self.only_client(), true, false, false);
+        self.proxy.handle_ready(Ready { token, readable, writable, read_closed });
     }
 
     /// Time passes before the next turn.
