--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const T: Micros = 1_000_000;
+const START: Micros = 1_000_000;
 const SECOND: Micros = 1_000_000;
 
 fn idle(is_leaving: bool, had_request: bool, idle: Micros) -> IdleConnection {
@@ -11,7 +11,7 @@
 fn serving_process() -> Lifecycle {
     let mut process = Lifecycle::default();
     assert_eq!((process.phase(), process.is_serving()), (Phase::Starting, false));
-    process.handle(T, Event::EndpointsListed(true)).unwrap();
+    process.handle(START, Event::EndpointsListed(true)).unwrap();
     assert!(
         process.is_serving()
             && process.is_ready()
@@ -24,34 +24,34 @@
 #[test]
 fn standby_drains_clients_within_four_seconds_and_active_cancels_it_at_any_time() {
     let mut process = serving_process();
-    process.handle(T, Event::Standby).unwrap();
+    process.handle(START, Event::Standby).unwrap();
     assert!(!process.is_serving() && !process.is_ready() && process.sends_going_away());
     assert!(
-        process.accepts_connections() && process.admits_requests(T + SECOND),
+        process.accepts_connections() && process.admits_requests(START + SECOND),
         "new requests are still served early in standby"
     );
     assert!(
-        process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT))
-            && !process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
+        process.should_close(START, idle(true, true, LEAVING_IDLE_TIMEOUT))
+            && !process.should_close(START, idle(true, true, LEAVING_IDLE_TIMEOUT - 1))
     );
     assert!(
-        !process.should_close(T + SECOND, idle(false, true, SECOND)),
+        !process.should_close(START + SECOND, idle(false, true, SECOND)),
         "a new connection may still bring its request"
     );
     // A second call does not restart the drain.
-    process.handle(T + SECOND, Event::Standby).unwrap();
+    process.handle(START + SECOND, Event::Standby).unwrap();
     assert!(
-        !process.admits_requests(T + 2 * SECOND)
-            && process.should_close(T + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
+        !process.admits_requests(START + 2 * SECOND)
+            && process.should_close(START + 2 * SECOND, idle(false, true, LEAVING_IDLE_TIMEOUT))
     );
     assert!(
-        !process.closes_partial_messages(T + 3 * SECOND)
-            && process.closes_partial_messages(T + 4 * SECOND - 1)
+        !process.closes_partial_messages(START + 3 * SECOND)
+            && process.closes_partial_messages(START + 4 * SECOND - 1)
     );
-    assert!(!process.may_exit(T + 100 * SECOND, OpenWork::default()), "standby does not end the process");
-    process.handle(T + 3 * SECOND, Event::Active).unwrap();
-    process.handle(T + 3 * SECOND, Event::Active).unwrap();
-    let now = T + 9 * SECOND;
+    assert!(!process.may_exit(START + 100 * SECOND, OpenWork::default()), "standby does not end the process");
+    process.handle(START + 3 * SECOND, Event::Active).unwrap();
+    process.handle(START + 3 * SECOND, Event::Active).unwrap();
+    let now = START + 9 * SECOND;
     assert!(
         process.is_serving()
             && process.admits_requests(now)
@@ -70,10 +70,10 @@
     for (shared, standby) in [(true, false), (false, false), (true, true)] {
         let mut process = serving_process();
         if standby {
-            process.handle(T, Event::Standby).unwrap();
+            process.handle(START, Event::Standby).unwrap();
         }
         let before = process.phase();
-        process.handle(T, Event::SuccessorServing { shares_listener: shared }).unwrap();
+        process.handle(START, Event::SuccessorServing { shares_listener: shared }).unwrap();
         assert!(
             !process.is_serving() && process.is_ready() && process.sends_going_away(),
             "the instance stays ready"
@@ -83,10 +83,13 @@
             !shared,
             "connections in this process's own listen queue are accepted"
         );
-        assert!(process.admits_requests(T + 9 * SECOND) && !process.closes_partial_messages(T + 9 * SECOND));
-        assert_eq!(process.handle(T, Event::Standby), Err(CallRefused::Replaced));
-        assert_eq!(process.handle(T, Event::Active), Err(CallRefused::Replaced));
-        process.handle(T, Event::SuccessorEnded).unwrap();
+        assert!(
+            process.admits_requests(START + 9 * SECOND)
+                && !process.closes_partial_messages(START + 9 * SECOND)
+        );
+        assert_eq!(process.handle(START, Event::Standby), Err(CallRefused::Replaced));
+        assert_eq!(process.handle(START, Event::Active), Err(CallRefused::Replaced));
+        process.handle(START, Event::SuccessorEnded).unwrap();
         assert_eq!((process.phase(), process.accepts_connections()), (before, true));
     }
 }
@@ -97,46 +100,51 @@
     let unanswered = OpenWork { unanswered: true, ..no_work };
     let incoming = OpenWork { incoming: true, ..no_work };
     let mut process = serving_process();
-    process.handle(T, Event::Terminate { longest_deadline: 2 * SECOND }).unwrap();
-    assert_eq!(process.handle(T, Event::Active), Err(CallRefused::Stopping));
-    assert_eq!(process.handle(T, Event::Standby), Err(CallRefused::Stopping));
+    process.handle(START, Event::Terminate { longest_deadline: 2 * SECOND }).unwrap();
+    assert_eq!(process.handle(START, Event::Active), Err(CallRefused::Stopping));
+    assert_eq!(process.handle(START, Event::Standby), Err(CallRefused::Stopping));
     assert!(
         !process.is_ready()
             && process.accepts_connections()
-            && process.admits_requests(T)
-            && !process.should_close(T, idle(true, true, SECOND))
+            && process.admits_requests(START)
+            && !process.should_close(START, idle(true, true, SECOND))
     );
-    assert!(!process.may_exit(T + MIN_DRAIN - 1, no_work), "requests may still be on their way");
-    assert!(process.may_exit(T + MIN_DRAIN, no_work));
-    let stop = T + 2 * SECOND + DRAIN_MARGIN + DRAIN_FLUSH;
+    assert!(!process.may_exit(START + MIN_DRAIN - 1, no_work), "requests may still be on their way");
+    assert!(process.may_exit(START + MIN_DRAIN, no_work));
+    let stop = START + 2 * SECOND + DRAIN_MARGIN + DRAIN_FLUSH;
     for open in [unanswered, incoming] {
         assert!(!process.may_exit(stop - 1, open) && process.may_exit(stop, open));
     }
     // A second SIGTERM does not postpone the exit, and a deadline of an hour is capped at three seconds.
-    process.handle(T + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
+    process.handle(START + SECOND, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
     assert_eq!(process.drain_deadline(), Some(stop - DRAIN_FLUSH));
     let mut process = serving_process();
-    process.handle(T, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
-    assert_eq!(process.drain_deadline(), Some(T + MAX_DRAIN + DRAIN_MARGIN));
+    process.handle(START, Event::Terminate { longest_deadline: 3_600 * SECOND }).unwrap();
+    assert_eq!(process.drain_deadline(), Some(START + MAX_DRAIN + DRAIN_MARGIN));
     // A process in standby stops as one that serves does, and still admits new requests meanwhile.
     let mut process = serving_process();
-    process.handle(T, Event::Standby).unwrap();
-    process.handle(T + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(process.admits_requests(T + 3 * SECOND) && !process.closes_partial_messages(T + 4 * SECOND));
+    process.handle(START, Event::Standby).unwrap();
+    process.handle(START + 3 * SECOND, Event::Terminate { longest_deadline: SECOND }).unwrap();
+    assert!(
+        process.admits_requests(START + 3 * SECOND) && !process.closes_partial_messages(START + 4 * SECOND)
+    );
     assert!(
-        !process.may_exit(T + 3 * SECOND, no_work) && process.may_exit(T + 3 * SECOND + MIN_DRAIN, no_work)
+        !process.may_exit(START + 3 * SECOND, no_work)
+            && process.may_exit(START + 3 * SECOND + MIN_DRAIN, no_work)
     );
     // With a successor on the same listen queue no new connection arrives: only the existing ones are waited for.
     let mut process = serving_process();
-    process.handle(T, Event::SuccessorServing { shares_listener: true }).unwrap();
-    process.handle(T, Event::Terminate { longest_deadline: SECOND }).unwrap();
-    assert!(process.is_ready() && process.should_close(T, idle(true, true, LEAVING_IDLE_TIMEOUT)));
+    process.handle(START, Event::SuccessorServing { shares_listener: true }).unwrap();
+    process.handle(START, Event::Terminate { longest_deadline: SECOND }).unwrap();
+    assert!(process.is_ready() && process.should_close(START, idle(true, true, LEAVING_IDLE_TIMEOUT)));
     assert!(
-        !process.should_close(T, idle(true, false, LEAVING_IDLE_TIMEOUT))
-            && process.should_close(T, idle(true, false, SECOND)),
+        !process.should_close(START, idle(true, false, LEAVING_IDLE_TIMEOUT))
+            && process.should_close(START, idle(true, false, SECOND)),
         "a first request may still arrive"
     );
-    assert!(!process.may_exit(T, OpenWork { clients: true, ..no_work }) && process.may_exit(T, no_work));
+    assert!(
+        !process.may_exit(START, OpenWork { clients: true, ..no_work }) && process.may_exit(START, no_work)
+    );
 }
 
 proptest! {
@@ -147,7 +155,7 @@
     /// nor stopping.
     #[test]
     fn lifecycle_invariants_hold_for_any_order_of_events(steps in prop::collection::vec((0u8..7, 0u64..3_000_000), 1..40)) {
-        let (mut process, mut now, mut exit_by) = (Lifecycle::default(), T, None::<Micros>);
+        let (mut process, mut now, mut exit_by) = (Lifecycle::default(), START, None::<Micros>);
         process.handle(now, Event::EndpointsListed(true)).unwrap();
         for (kind, wait) in steps {
             now += wait;
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -191,19 +191,22 @@
 /// connection shows that it was stale.
 #[test]
 fn a_loss_right_after_an_idle_time_lowers_the_stale_timeout() {
-    const S: Micros = 1_000_000;
+    const SECOND: Micros = 1_000_000;
     for (idle, after, expected) in [
-        (2 * S, STALE_LOSS_WINDOW / 2, 3 * S / 2),
-        (2 * S, 2 * STALE_LOSS_WINDOW, 13 * S),
-        (MIN_STALE_AFTER / 2, 0, 13 * S),
+        (2 * SECOND, STALE_LOSS_WINDOW / 2, 3 * SECOND / 2),
+        (2 * SECOND, 2 * STALE_LOSS_WINDOW, 13 * SECOND),
+        (MIN_STALE_AFTER / 2, 0, 13 * SECOND),
         (MIN_STALE_AFTER, 0, MIN_STALE_AFTER),
     ] {
         let mut pool: Pool<ScriptedTransport> =
-            Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13 * S);
-        let mut upstream =
-            UpstreamConnection::new(Connection::accepted(ScriptedTransport::default(), S), name(0), S);
-        upstream.note_sent("a".into(), 0, S + idle);
-        pool.note_lost(&upstream, S + idle + after);
+            Pool::new(MULTIPLEX, MAX_CONNECTIONS, MAX_PER_ENDPOINT, 13 * SECOND);
+        let mut upstream = UpstreamConnection::new(
+            Connection::accepted(ScriptedTransport::default(), SECOND),
+            name(0),
+            SECOND,
+        );
+        upstream.note_sent("a".into(), 0, SECOND + idle);
+        pool.note_lost(&upstream, SECOND + idle + after);
         assert_eq!(pool.stale_after, expected, "idle for {idle}, lost after {after}");
     }
 }
