--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -380,7 +380,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         what(&mut d.documents, now, &mut actions);
         let shows = d.reader.turn(now, &mut d.documents);
-        let next = d.documents.next().min(d.reader.next());
+        let next = d.documents.next_due().min(d.reader.next());
         if shows.revision != d.revision {
             d.revision = shows.revision;
             self.shown[instance].steps.push(Step { at: now, revision: shows.revision });
--- a/crates/fleet-simulation/src/slopes/documents.rs
+++ b/crates/fleet-simulation/src/slopes/documents.rs
@@ -107,7 +107,7 @@
             if self.documents.is_watching() {
                 return true;
             }
-            self.now = self.now.max(self.documents.next());
+            self.now = self.now.max(self.documents.next_due());
             self.step(watch, |d, now, a| d.tick(now, a));
         }
         false
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// When something is due without any input.
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         self.state.due(self.settings.silence).min(self.calls.due())
     }
 
@@ -193,7 +193,7 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if now < self.next() {
+        if now < self.next_due() {
             return;
         }
         let expired = self.calls.expire(now);
--- a/tests/core_decisions/documents.rs
+++ b/tests/core_decisions/documents.rs
@@ -100,7 +100,7 @@
     fn step(&mut self) {
         self.now += self.rng.random_range(0..40) * MS;
         if self.rng.random_ratio(1, 25) {
-            self.now = self.now.max(self.documents.next());
+            self.now = self.now.max(self.documents.next_due());
         }
         match self.rng.random_range(0..400) {
             0..90 => self.happens(|documents, now, actions| documents.tick(now, actions)),
@@ -328,7 +328,7 @@
         let (keys, bytes) = documents.size();
         digest.count(keys);
         digest.count(bytes);
-        digest.number(documents.next());
+        digest.number(documents.next_due());
         let figures = documents.counters();
         [figures.dials, figures.lost, figures.lists, figures.changes, figures.calls, figures.unknown]
             .into_iter()
