--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -37,7 +37,7 @@
 
     fn next(&self) -> Micros {
         match self {
-            Driver::Documents(d) => d.next(),
+            Driver::Documents(d) => d.next_due(),
             Driver::List(d) => d.next_due(),
         }
     }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -81,7 +81,7 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        self.driver.next().min(self.log.next())
+        self.driver.next_due().min(self.log.next())
     }
 
     /// Returns whether the staleness bound is due to change without new input.
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -255,7 +255,7 @@
         } else {
             self.last_step + STEP_INTERVAL
         };
-        self.driver.next().min(own)
+        self.driver.next_due().min(own)
     }
 
     /// Returns names and values for the admin endpoint.
--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -86,7 +86,7 @@
     }
 
     /// When it wants a turn without any input.
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         self.documents.next_due().min(self.campaign.next())
     }
 
