--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -87,7 +87,7 @@
 
     /// When it wants a turn without any input.
     pub fn next_due(&self) -> Micros {
-        self.documents.next_due().min(self.campaign.next())
+        self.documents.next_due().min(self.campaign.next_due())
     }
 
     /// Whether there is more to do than the last turn did.
--- a/src/registry/lease.rs
+++ b/src/registry/lease.rs
@@ -198,7 +198,7 @@
     }
 
     /// When something is due without any input.
-    pub fn next(&self) -> Micros {
+    pub fn next_due(&self) -> Micros {
         match self.state {
             State::Following { turn } => turn.unwrap_or(Micros::MAX),
             State::Granting { .. } => Micros::MAX,
--- a/tests/core_decisions/lease.rs
+++ b/tests/core_decisions/lease.rs
@@ -195,7 +195,7 @@
             }
         }
         digest.option(member.campaign.fence(now), Digest::signed);
-        digest.number(member.campaign.next());
+        digest.number(member.campaign.next_due());
     }
     assert!(led > 20, "too calm: {led}");
     let transaction = Transaction { deletes: vec!["gone".to_owned()], ..Transaction::default() };
