--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -38,7 +38,7 @@
             let value = |key: &str| documents.get(key).map(|d| d.value.as_slice());
             let all = changes.all || !std::mem::replace(&mut self.read, true);
             let keys: Vec<&str> = match all {
-                true => documents.below("").map(|d| d.0).collect(),
+                true => documents.with_prefix("").map(|d| d.0).collect(),
                 false => changes.keys.iter().map(String::as_str).collect(),
             };
             if all || !keys.is_empty() {
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -167,7 +167,7 @@
         let driver = &self.driver;
         let rereads_all = changes.all || !std::mem::replace(&mut self.has_been_read, true);
         let keys: Vec<&str> = if rereads_all {
-            driver.below("").map(|(key, _)| key).collect()
+            driver.with_prefix("").map(|(key, _)| key).collect()
         } else {
             changes.keys.iter().map(String::as_str).collect()
         };
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -394,7 +394,7 @@
             let (Some(forecast), Some(name)) = (&mut planner.forecast, names.get(*zone)) else { continue };
             let prefix = GrowthPlanner::key_prefix(name);
             let listed: Vec<String> = if changes.all {
-                self.driver.below(&prefix).map(|(key, _)| key.to_owned()).collect()
+                self.driver.with_prefix(&prefix).map(|(key, _)| key.to_owned()).collect()
             } else {
                 Vec::new()
             };
@@ -532,7 +532,7 @@
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
             let counts =
-                self.driver.below(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
+                self.driver.with_prefix(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
             let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
@@ -542,7 +542,7 @@
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
             compaction: forecast
-                .compaction(self.driver.below(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
+                .compaction(self.driver.with_prefix(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
         }
     }
 
--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -108,8 +108,8 @@
     }
 
     /// All documents whose keys begin so, in order; the planner's own key [`PLANNER`] is among them.
-    pub fn below<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
-        self.documents.below(prefix)
+    pub fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
+        self.documents.with_prefix(prefix)
     }
 
     /// Whether the documents were confirmed within the last few seconds.
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -99,8 +99,8 @@
     }
 
     /// All documents whose keys begin with `prefix`, in order, without those whose keys are no text.
-    pub fn below<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
-        self.mirror.below(prefix)
+    pub fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
+        self.mirror.with_prefix(prefix)
     }
 
     /// The revision that the documents are of; 0: none were listed yet.
--- a/tests/core_decisions/documents.rs
+++ b/tests/core_decisions/documents.rs
@@ -314,7 +314,7 @@
         let changes = documents.take_changes();
         digest.flag(changes.all);
         changes.keys.iter().for_each(|key| digest.text(key));
-        for (key, document) in documents.below("") {
+        for (key, document) in documents.with_prefix("") {
             digest.text(key);
             digest.bytes(&document.value);
             [document.mod_revision, document.create_revision, document.lease]
--- a/tests/registry_documents.rs
+++ b/tests/registry_documents.rs
@@ -314,7 +314,7 @@
         let document = |(key, d): (&str, &larchdale::registry::documents::Document)| {
             (key.to_owned(), (d.value.clone(), d.mod_revision))
         };
-        self.documents.below("").map(document).collect()
+        self.documents.with_prefix("").map(document).collect()
     }
 
     fn go_wrong(&mut self) {
