--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -133,7 +133,7 @@
                     let name = format!("hollow-{n}");
                     let mut driver =
                         DocumentsDriver::new(endpoints, PREFIX, LEASE, &name, seed, now, log.clone());
-                    driver.campaign(true);
+                    driver.set_campaigning(true);
                     Driver::Documents(Box::new(driver))
                 }
                 Kind::List => {
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -117,7 +117,7 @@
         context.now,
         context.log.clone(),
     );
-    driver.campaign(true);
+    driver.set_campaigning(true);
     driver
 }
 
--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether this instance is to become and stay the planner.
-    pub fn campaign(&mut self, on: bool) {
+    pub fn set_campaigning(&mut self, on: bool) {
         self.campaign.set_enabled(on);
         self.has_work = true;
     }
--- a/tests/registry_documents.rs
+++ b/tests/registry_documents.rs
@@ -470,9 +470,9 @@
 fn a_successor_takes_over_from_a_silent_planner_whose_writes_then_change_nothing() {
     let registry = Registry::start(2).unwrap();
     let (mut a, mut b) = (Proxy::new("a", &registry, 0), Proxy::new("b", &registry, 1));
-    a.driver.campaign(true);
+    a.driver.set_campaigning(true);
     let first = a.leads();
-    b.driver.campaign(true);
+    b.driver.set_campaigning(true);
     b.shows(PLANNER, "a");
     assert!(matches!(a.write(1, fenced(put("map", "one"), first)), Outcome::Committed { .. }));
     b.shows("map", "one");
@@ -496,7 +496,7 @@
     a.shows("map", "three");
     assert_eq!(a.write(3, fenced(put("map", "late"), first)), Outcome::CompareFailed);
     // Who resigns is followed at once.
-    b.driver.campaign(false);
+    b.driver.set_campaigning(false);
     b.until("resigned", |d, _| d.get(PLANNER).is_none().then_some(()));
     let third = a.leads();
     assert!(matches!(a.write(4, fenced(put("map", "four"), third)), Outcome::Committed { .. }));
