--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -55,11 +55,11 @@
         let usual = Settings::new(endpoints.len(), prefix);
         let settings = Settings { answer: usual.answer.min(lease / ANSWER_PART), ..usual };
         let campaign = Campaign::new(name, lease, lease / CLAIM_SPREAD_PART, seed.rotate_left(32));
-        DocumentsDriver { campaign, ..DocumentsDriver::following(endpoints, settings, seed, now, log) }
+        DocumentsDriver { campaign, ..DocumentsDriver::new_follower(endpoints, settings, seed, now, log) }
     }
 
     /// One that only follows, by these settings: it is no planner, and never wants to be one.
-    pub fn following(
+    pub fn new_follower(
         endpoints: Vec<SocketAddr>,
         settings: Settings,
         seed: u64,
