--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -45,7 +45,7 @@
         let registry = RegistrySettings {
             most_keys: 2 * SLOTS as usize,
             most_bytes: MAX_ENTRY_BYTES,
-            ..RegistrySettings::prompt(settings.endpoints.len(), &prefix, settings.check, settings.silence)
+            ..RegistrySettings::fast_detection(settings.endpoints.len(), &prefix, settings.check, settings.silence)
         };
         let log = context.log.new(o!("of" => "purge log"));
         let driver = DocumentsDriver::new_follower(settings.endpoints.clone(), registry, seed, context.now, log);
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -55,7 +55,7 @@
 
     /// Settings for followers that must notice soon that they hear nothing, and recover soon: a check each `check`,
     /// another endpoint after `silence`, and short pauses between dials.
-    pub fn prompt(endpoints: usize, prefix: &str, check: Micros, silence: Micros) -> Self {
+    pub fn fast_detection(endpoints: usize, prefix: &str, check: Micros, silence: Micros) -> Self {
         Settings {
             // A page is a linearizable read, which between regions takes tenths of a second: best one for all.
             page: 1_024,
