--- a/crates/fleet-simulation/src/loopback/fleets.rs
+++ b/crates/fleet-simulation/src/loopback/fleets.rs
@@ -8,7 +8,7 @@
 use crate::capacity::{Per, Quantity, Role, Row};
 use crate::slopes::list::record_below;
 use crate::slopes::Effort;
-use larchdale::registry::lease::PLANNER;
+use larchdale::registry::lease::PLANNER_KEY;
 use larchdale_test_support::registry::server::Registry;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
 /// No port is free.
 pub fn registry() -> Result<Registry, LoopbackError> {
     let registry = Registry::start(1).map_err(super::io("stand-in registry"))?;
-    registry.with(|s| s.put(format!("{PREFIX}{PLANNER}").as_bytes(), b"another", 0));
+    registry.with(|s| s.put(format!("{PREFIX}{PLANNER_KEY}").as_bytes(), b"another", 0));
     Ok(registry)
 }
 
--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -7,7 +7,7 @@
 };
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::registry::grpc::{Channel, ChannelEvent};
-use crate::registry::lease::{self, Campaign, View, PLANNER};
+use crate::registry::lease::{self, Campaign, View, PLANNER_KEY};
 use crate::registry::link::{Link, Polled};
 use crate::registry::messages::path;
 use crate::routing::events::Micros;
@@ -107,7 +107,7 @@
         self.documents.get(key)
     }
 
-    /// All documents whose keys begin so, in order; the planner's own key [`PLANNER`] is among them.
+    /// All documents whose keys begin so, in order; the planner's own key [`PLANNER_KEY`] is among them.
     pub fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
         self.documents.with_prefix(prefix)
     }
@@ -155,8 +155,8 @@
     /// # Errors
     /// It was not taken, and gets no outcome: too many wait, or it could never be carried out.
     pub fn submit(&mut self, now: Micros, id: u64, transaction: Transaction) -> Result<(), DocumentsError> {
-        if transaction.written_keys().any(|key| key == PLANNER) {
-            return Err(DocumentsError::ReservedKey { key: PLANNER.to_owned() });
+        if transaction.written_keys().any(|key| key == PLANNER_KEY) {
+            return Err(DocumentsError::ReservedKey { key: PLANNER_KEY.to_owned() });
         }
         if self.outcomes.iter().any(|(pending, _)| *pending == id) {
             return Err(DocumentsError::DuplicateId { id });
@@ -210,7 +210,7 @@
         }
         let documents = &self.documents;
         let view = View {
-            holder: documents.get(PLANNER),
+            holder: documents.get(PLANNER_KEY),
             revision: documents.revision(),
             confirmed: documents.confirmed(),
             current: documents.is_current(now),
--- a/src/registry/lease.rs
+++ b/src/registry/lease.rs
@@ -28,7 +28,7 @@
 use rand_pcg::Pcg32;
 
 /// The planner's key, below the prefix. Its value is the planner's name.
-pub const PLANNER: &str = "planner";
+pub const PLANNER_KEY: &str = "planner";
 /// Part of the lease that is not relied on, because clocks may run at different rates.
 const MARGIN_PART: Micros = 8;
 /// Part of the lease after which it is kept alive.
@@ -41,7 +41,7 @@
 
 /// Adds the fence: the transaction changes nothing unless the planner's key is still the one made at this revision.
 pub fn fenced(mut transaction: Transaction, fence: i64) -> Transaction {
-    transaction.compares.push((PLANNER.to_owned(), Condition::CreateRevision(fence)));
+    transaction.compares.push((PLANNER_KEY.to_owned(), Condition::CreateRevision(fence)));
     transaction
 }
 
@@ -286,8 +286,8 @@
 
     fn claim(&mut self, now: Micros, lease: i64, until: Micros, actions: &mut Vec<Action>) {
         let transaction = Transaction {
-            compares: vec![(PLANNER.to_owned(), Condition::CreateRevision(0))],
-            puts: vec![(PLANNER.to_owned(), self.name.clone().into_bytes())],
+            compares: vec![(PLANNER_KEY.to_owned(), Condition::CreateRevision(0))],
+            puts: vec![(PLANNER_KEY.to_owned(), self.name.clone().into_bytes())],
             deletes: Vec::new(),
         };
         let call = Some(self.call(Request::Transaction(transaction, lease), actions));
--- a/src/registry/lease/tests.rs
+++ b/src/registry/lease/tests.rs
@@ -49,7 +49,7 @@
             }
             Request::Transaction(..) if self.key.is_some() => Reply::Outcome(Outcome::CompareFailed),
             Request::Transaction(t, lease) => {
-                assert_eq!(t.compares, [(PLANNER.to_owned(), Condition::CreateRevision(0))]);
+                assert_eq!(t.compares, [(PLANNER_KEY.to_owned(), Condition::CreateRevision(0))]);
                 self.revision += 1;
                 let revision = self.revision;
                 let value = t.puts[0].1.clone();
@@ -275,7 +275,7 @@
                 let fence = w.planners[who].write.take()?;
                 let compares = fenced(Transaction::default(), fence).compares;
                 let made = w.store.key.as_ref().map_or(0, |k| k.0.create_revision);
-                if !self.fenced || compares == [(PLANNER.to_owned(), Condition::CreateRevision(made))] {
+                if !self.fenced || compares == [(PLANNER_KEY.to_owned(), Condition::CreateRevision(made))] {
                     w.stolen |= w.store.key.as_ref().is_none_or(|k| k.1 != who);
                 }
             }
--- a/tests/core_decisions/lease.rs
+++ b/tests/core_decisions/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::digest::{expect, Digest};
 use larchdale::registry::documents::{Condition, Document, Outcome, Reply, Request, Transaction};
-use larchdale::registry::lease::{fenced, Action, Campaign, LossReason, Notice, View, PLANNER};
+use larchdale::registry::lease::{fenced, Action, Campaign, LossReason, Notice, View, PLANNER_KEY};
 use larchdale::routing::events::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -200,7 +200,7 @@
     assert!(led > 20, "too calm: {led}");
     let transaction = Transaction { deletes: vec!["gone".to_owned()], ..Transaction::default() };
     write_transaction(&mut digest, &fenced(transaction, 77));
-    digest.text(PLANNER);
+    digest.text(PLANNER_KEY);
     digest.finish()
 }
 
--- a/tests/registry_documents.rs
+++ b/tests/registry_documents.rs
@@ -9,7 +9,7 @@
     Settings, Transaction,
 };
 use larchdale::registry::keys::range_end;
-use larchdale::registry::lease::{fenced, PLANNER};
+use larchdale::registry::lease::{fenced, PLANNER_KEY};
 use larchdale::registry::messages::{
     request_op, watch_request, PutRequest, RangeRequest, RequestOp, TxnRequest, TxnResponse, WatchResponse,
 };
@@ -473,7 +473,7 @@
     a.driver.set_campaigning(true);
     let first = a.leads();
     b.driver.set_campaigning(true);
-    b.shows(PLANNER, "a");
+    b.shows(PLANNER_KEY, "a");
     assert!(matches!(a.write(1, fenced(put("map", "one"), first)), Outcome::Committed { .. }));
     b.shows("map", "one");
     assert!(b.driver.take_changes().keys.contains(&"map".to_owned()));
@@ -497,7 +497,7 @@
     assert_eq!(a.write(3, fenced(put("map", "late"), first)), Outcome::CompareFailed);
     // Who resigns is followed at once.
     b.driver.set_campaigning(false);
-    b.until("resigned", |d, _| d.get(PLANNER).is_none().then_some(()));
+    b.until("resigned", |d, _| d.get(PLANNER_KEY).is_none().then_some(()));
     let third = a.leads();
     assert!(matches!(a.write(4, fenced(put("map", "four"), third)), Outcome::Committed { .. }));
     let written = registry.with(|s| {
@@ -507,7 +507,7 @@
             let all = s.history().iter().filter(|c| c.key == key);
             all.map(|c| c.value.as_ref().map_or("-".to_owned(), value)).collect::<Vec<_>>().join(" ")
         };
-        (of("map"), of(PLANNER))
+        (of("map"), of(PLANNER_KEY))
     });
     assert_eq!(written, ("one two three four".to_owned(), "a - b - a".to_owned()));
 }
