--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -43,7 +43,7 @@
     pub fn new(settings: &Settings, seed: u64, context: &FleetContext) -> Self {
         let prefix = format!("{}{ENTRIES}", settings.prefix);
         let registry = RegistrySettings {
-            most_keys: 2 * SLOTS as usize,
+            max_keys: 2 * SLOTS as usize,
             most_bytes: MAX_ENTRY_BYTES,
             ..RegistrySettings::fast_detection(settings.endpoints.len(), &prefix, settings.check, settings.silence)
         };
--- a/src/registry/documents/error.rs
+++ b/src/registry/documents/error.rs
@@ -117,7 +117,7 @@
         DocumentsError::TooManyDocuments {
             keys,
             bytes: bytes as u64,
-            max_keys: settings.most_keys,
+            max_keys: settings.max_keys,
             max_bytes: settings.most_bytes,
         }
     }
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -13,7 +13,7 @@
     /// Keys below it are documents.
     pub prefix: String,
     /// Most documents that are kept.
-    pub most_keys: usize,
+    pub max_keys: usize,
     /// Most bytes of keys and values that are kept; while a list is read there may be twice as many.
     pub most_bytes: usize,
     /// Keys in one page of a list.
@@ -40,7 +40,7 @@
         Settings {
             endpoints,
             prefix: prefix.to_owned(),
-            most_keys: 50_000,
+            max_keys: 50_000,
             most_bytes: 64 << 20,
             page: 64,
             dial: SECOND,
