--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -51,7 +51,7 @@
     };
     // A minute of growth() in a fleet of 3,300 has far more than the 64 MB that are kept.
     assert!(with(30) && !with(36));
-    assert_eq!((Settings::new(1, "/f/").max_keys, Settings::new(1, "/f/").most_bytes), (50_000, 64 << 20));
+    assert_eq!((Settings::new(1, "/f/").max_keys, Settings::new(1, "/f/").max_bytes), (50_000, 64 << 20));
 }
 
 #[test]
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -44,7 +44,7 @@
         let prefix = format!("{}{ENTRIES}", settings.prefix);
         let registry = RegistrySettings {
             max_keys: 2 * SLOTS as usize,
-            most_bytes: MAX_ENTRY_BYTES,
+            max_bytes: MAX_ENTRY_BYTES,
             ..RegistrySettings::fast_detection(settings.endpoints.len(), &prefix, settings.check, settings.silence)
         };
         let log = context.log.new(o!("of" => "purge log"));
--- a/src/registry/documents/error.rs
+++ b/src/registry/documents/error.rs
@@ -118,7 +118,7 @@
             keys,
             bytes: bytes as u64,
             max_keys: settings.max_keys,
-            max_bytes: settings.most_bytes,
+            max_bytes: settings.max_bytes,
         }
     }
 }
--- a/src/registry/documents/listing.rs
+++ b/src/registry/documents/listing.rs
@@ -82,7 +82,7 @@
     /// Checks that there are no more documents than allowed; `count` is the registry's count of keys.
     fn check_limits(&self, count: i64, settings: &Settings) -> Result<(), DocumentsError> {
         let keys = (self.documents.len() as u64).max(u64::try_from(count).unwrap_or(0));
-        if keys > settings.max_keys as u64 || self.bytes > settings.most_bytes {
+        if keys > settings.max_keys as u64 || self.bytes > settings.max_bytes {
             return Err(DocumentsError::limit_exceeded(keys, self.bytes, settings));
         }
         Ok(())
--- a/src/registry/documents/mirror.rs
+++ b/src/registry/documents/mirror.rs
@@ -91,7 +91,7 @@
             bytes = bytes.saturating_add(new.as_ref().map_or(0, |new| document_bytes(key, new)));
             keys = keys + usize::from(new.is_some()) - usize::from(old.is_some());
         }
-        if keys > settings.max_keys || bytes > settings.most_bytes {
+        if keys > settings.max_keys || bytes > settings.max_bytes {
             return Err(DocumentsError::limit_exceeded(keys as u64, bytes, settings));
         }
         for (key, document) in changes {
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -15,7 +15,7 @@
     /// Most documents that are kept.
     pub max_keys: usize,
     /// Most bytes of keys and values that are kept; while a list is read there may be twice as many.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
     /// Keys in one page of a list.
     pub page: i64,
     /// A dial takes no longer.
@@ -41,7 +41,7 @@
             endpoints,
             prefix: prefix.to_owned(),
             max_keys: 50_000,
-            most_bytes: 64 << 20,
+            max_bytes: 64 << 20,
             page: 64,
             dial: SECOND,
             answer: 3 * SECOND,
--- a/src/registry/documents/watching.rs
+++ b/src/registry/documents/watching.rs
@@ -70,7 +70,7 @@
         watch.details.fragment_bytes = watch.details.fragment_bytes.saturating_add(bytes.len());
         watch.fragments.extend(message.events);
         if message.fragment {
-            let is_too_large = watch.details.fragment_bytes > self.settings.most_bytes;
+            let is_too_large = watch.details.fragment_bytes > self.settings.max_bytes;
             return if is_too_large { Err(DocumentsError::WatchMessageTooLarge) } else { Ok(()) };
         }
         watch.details.fragment_bytes = 0;
