--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -162,7 +162,7 @@
             return Err(DocumentsError::DuplicateId { id });
         }
         // Outcomes that were not taken count too: they have no other bound.
-        let max_calls = self.documents.settings.most_calls;
+        let max_calls = self.documents.settings.max_calls;
         if self.outcomes.len() >= max_calls {
             return Err(DocumentsError::Busy { max_calls });
         }
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -180,7 +180,7 @@
         actions: &mut Vec<Action>,
     ) -> Result<(), DocumentsError> {
         let until = now.saturating_add(self.settings.answer);
-        self.calls.accept(caller, request, until, self.settings.most_calls)?;
+        self.calls.accept(caller, request, until, self.settings.max_calls)?;
         self.send_calls(now, actions);
         Ok(())
     }
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -31,7 +31,7 @@
     /// Longest pause between dials.
     pub longest_pause: Micros,
     /// Most calls of the owner that wait: for being sent, for their answer, or for the owner to take that.
-    pub most_calls: usize,
+    pub max_calls: usize,
 }
 
 impl Settings {
@@ -49,7 +49,7 @@
             silence: 2 * SECOND,
             spread: 200 * MILLISECOND,
             longest_pause: 5 * SECOND,
-            most_calls: 32,
+            max_calls: 32,
         }
     }
 
