--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -329,7 +329,12 @@
         let seed = self.seed ^ now << 20 ^ instance as u64;
         let prompt = || {
             let log = settings();
-            Settings::fast_detection(self.machines.len(), &format!("{PREFIX}{ENTRIES}"), log.check, log.silence)
+            Settings::fast_detection(
+                self.machines.len(),
+                &format!("{PREFIX}{ENTRIES}"),
+                log.check,
+                log.silence,
+            )
         };
         let usual = || Settings {
             check: self.spec.check_ms * 1_000,
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -45,10 +45,16 @@
         let registry = RegistrySettings {
             max_keys: 2 * SLOTS as usize,
             max_bytes: MAX_ENTRY_BYTES,
-            ..RegistrySettings::fast_detection(settings.endpoints.len(), &prefix, settings.check, settings.silence)
+            ..RegistrySettings::fast_detection(
+                settings.endpoints.len(),
+                &prefix,
+                settings.check,
+                settings.silence,
+            )
         };
         let log = context.log.new(o!("of" => "purge log"));
-        let driver = DocumentsDriver::new_follower(settings.endpoints.clone(), registry, seed, context.now, log);
+        let driver =
+            DocumentsDriver::new_follower(settings.endpoints.clone(), registry, seed, context.now, log);
         info!(context.log, "purge log enabled"; "prefix" => &settings.prefix,
               "staleness_ms" => settings.staleness / MICROS_PER_MS);
         let log = PurgeLog::new(settings, propagation_time(context.settings), context.now);
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -531,8 +531,10 @@
             let until_ms = context.unix_ms.saturating_add(AHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
-            let counts =
-                self.driver.with_prefix(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
+            let counts = self
+                .driver
+                .with_prefix(&Work::key_prefix(name))
+                .map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
             let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
--- a/src/registry/documents/mirror.rs
+++ b/src/registry/documents/mirror.rs
@@ -50,7 +50,10 @@
 
 impl Mirror {
     /// All documents whose keys begin with `prefix`, in order, without those whose keys are no text.
-    pub(super) fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
+    pub(super) fn with_prefix<'a>(
+        &'a self,
+        prefix: &str,
+    ) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
         let prefix = prefix.as_bytes().to_vec();
         let from = self.documents.range(prefix.clone()..);
         let inside = from.take_while(move |(key, _)| key.starts_with(&prefix));
