--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -340,7 +340,7 @@
             check: self.spec.check_ms * 1_000,
             answer: self.spec.answer_ms * 1_000,
             silence: self.spec.silence_ms * 1_000,
-            page: self.spec.page as i64,
+            page_size: self.spec.page as i64,
             ..Settings::new(self.machines.len(), PREFIX)
         };
         let settings = if self.spec.purge_log { prompt() } else { usual() };
--- a/src/registry/documents/listing.rs
+++ b/src/registry/documents/listing.rs
@@ -33,7 +33,7 @@
             cluster: 0,
             revision: 0,
             from: settings.prefix.clone().into_bytes(),
-            limit: settings.page.max(1),
+            limit: settings.page_size.max(1),
             documents: DocumentMap::new(),
             bytes: 0,
         }
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -17,7 +17,7 @@
     /// Most bytes of keys and values that are kept; while a list is read there may be twice as many.
     pub max_bytes: usize,
     /// Keys in one page of a list.
-    pub page: i64,
+    pub page_size: i64,
     /// A dial takes no longer.
     pub dial: Micros,
     /// An answer to a page or a call takes no longer. A call waits no longer for being sent.
@@ -42,7 +42,7 @@
             prefix: prefix.to_owned(),
             max_keys: 50_000,
             max_bytes: 64 << 20,
-            page: 64,
+            page_size: 64,
             dial: SECOND,
             answer: 3 * SECOND,
             check: SECOND,
@@ -58,7 +58,7 @@
     pub fn fast_detection(endpoints: usize, prefix: &str, check: Micros, silence: Micros) -> Self {
         Settings {
             // A page is a linearizable read, which between regions takes tenths of a second: best one for all.
-            page: 1_024,
+            page_size: 1_024,
             dial: silence,
             answer: silence,
             check,
--- a/tests/core_decisions/documents.rs
+++ b/tests/core_decisions/documents.rs
@@ -48,8 +48,13 @@
 
 impl Play {
     fn new(seed: u64) -> Self {
-        let settings =
-            Settings { max_keys: 20, max_bytes: 2_400, page: 4, max_calls: 6, ..Settings::new(3, PREFIX) };
+        let settings = Settings {
+            max_keys: 20,
+            max_bytes: 2_400,
+            page_size: 4,
+            max_calls: 6,
+            ..Settings::new(3, PREFIX)
+        };
         Play {
             rng: Pcg32::seed_from_u64(seed),
             now: 0,
--- a/tests/registry_documents.rs
+++ b/tests/registry_documents.rs
@@ -78,7 +78,7 @@
 
 impl Sim {
     fn new(seed: u64, max_keys: usize) -> Self {
-        let settings = Settings { max_keys, page: 3, ..Settings::new(MEMBERS, PREFIX) };
+        let settings = Settings { max_keys, page_size: 3, ..Settings::new(MEMBERS, PREFIX) };
         let mut sim = Sim {
             now: S,
             rng: Pcg32::seed_from_u64(seed),
