--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -331,7 +331,7 @@
         };
         self.counters.dials += 1;
         let connection = Connection { id: self.next_number(), endpoint };
-        self.state = State::Dialing { connection, until: now.saturating_add(self.settings.dial) };
+        self.state = State::Dialing { connection, until: now.saturating_add(self.settings.dial_timeout) };
         actions.push(Action::Dial { connection: connection.id, endpoint });
     }
 
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -19,7 +19,7 @@
     /// Keys in one page of a list.
     pub page_size: i64,
     /// A dial takes no longer.
-    pub dial: Micros,
+    pub dial_timeout: Micros,
     /// An answer to a page or a call takes no longer. A call waits no longer for being sent.
     pub answer: Micros,
     /// Between two checks that the mirror is current.
@@ -43,7 +43,7 @@
             max_keys: 50_000,
             max_bytes: 64 << 20,
             page_size: 64,
-            dial: SECOND,
+            dial_timeout: SECOND,
             answer: 3 * SECOND,
             check: SECOND,
             silence: 2 * SECOND,
@@ -59,7 +59,7 @@
         Settings {
             // A page is a linearizable read, which between regions takes tenths of a second: best one for all.
             page_size: 1_024,
-            dial: silence,
+            dial_timeout: silence,
             answer: silence,
             check,
             silence,
