--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -53,7 +53,7 @@
         log: Logger,
     ) -> Self {
         let usual = Settings::new(endpoints.len(), prefix);
-        let settings = Settings { answer: usual.answer.min(lease / ANSWER_PART), ..usual };
+        let settings = Settings { answer_timeout: usual.answer_timeout.min(lease / ANSWER_PART), ..usual };
         let campaign = Campaign::new(name, lease, lease / CLAIM_SPREAD_PART, seed.rotate_left(32));
         DocumentsDriver { campaign, ..DocumentsDriver::new_follower(endpoints, settings, seed, now, log) }
     }
--- a/src/registry/documents/listing.rs
+++ b/src/registry/documents/listing.rs
@@ -106,7 +106,7 @@
         let range = self.range();
         let State::Listing { until, list, .. } = &mut self.state else { return };
         list.call = call;
-        *until = now.saturating_add(self.settings.answer);
+        *until = now.saturating_add(self.settings.answer_timeout);
         let request =
             RangeRequest { key: list.from.clone(), limit: list.limit, revision: list.revision, ..range };
         actions.push(Action::Call { call, rpc: Rpc::Range(request) });
@@ -150,7 +150,7 @@
         let call = self.next_number();
         let rpc = Rpc::Watch(self.watch_request(revision.saturating_add(1)));
         actions.push(Action::Call { call, rpc });
-        let confirmed_by = now.saturating_add(self.settings.answer);
+        let confirmed_by = now.saturating_add(self.settings.answer_timeout);
         let watch = WatchState::requested(revision, confirmed_by, WatchCall::new(call));
         self.state = State::Watching { connection, watch: Box::new(watch) };
     }
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -179,7 +179,7 @@
         request: Request,
         actions: &mut Vec<Action>,
     ) -> Result<(), DocumentsError> {
-        let until = now.saturating_add(self.settings.answer);
+        let until = now.saturating_add(self.settings.answer_timeout);
         self.calls.accept(caller, request, until, self.settings.max_calls)?;
         self.send_calls(now, actions);
         Ok(())
@@ -297,7 +297,7 @@
         if !self.is_watching() {
             return;
         }
-        let until = now.saturating_add(self.settings.answer);
+        let until = now.saturating_add(self.settings.answer_timeout);
         while self.calls.has_waiting() {
             let call = self.next_number();
             let rpc = self.calls.send_next(call, until, &self.settings.prefix);
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -21,7 +21,7 @@
     /// A dial takes no longer.
     pub dial_timeout: Micros,
     /// An answer to a page or a call takes no longer. A call waits no longer for being sent.
-    pub answer: Micros,
+    pub answer_timeout: Micros,
     /// Between two checks that the mirror is current.
     pub check: Micros,
     /// A check takes no longer.
@@ -44,7 +44,7 @@
             max_bytes: 64 << 20,
             page_size: 64,
             dial_timeout: SECOND,
-            answer: 3 * SECOND,
+            answer_timeout: 3 * SECOND,
             check: SECOND,
             silence: 2 * SECOND,
             spread: 200 * MILLISECOND,
@@ -60,7 +60,7 @@
             // A page is a linearizable read, which between regions takes tenths of a second: best one for all.
             page_size: 1_024,
             dial_timeout: silence,
-            answer: silence,
+            answer_timeout: silence,
             check,
             silence,
             spread: 100 * MILLISECOND,
