--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -115,7 +115,7 @@
 
     /// Whether they were confirmed recently: two checks and a check's timeout ago at most.
     pub fn is_current(&self, now: Micros) -> bool {
-        let max_age = 2 * self.settings.check + self.settings.silence;
+        let max_age = 2 * self.settings.check_interval + self.settings.silence;
         self.confirmed.is_some_and(|confirmed| now.saturating_sub(confirmed) <= max_age)
     }
 
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -23,7 +23,7 @@
     /// An answer to a page or a call takes no longer. A call waits no longer for being sent.
     pub answer_timeout: Micros,
     /// Between two checks that the mirror is current.
-    pub check: Micros,
+    pub check_interval: Micros,
     /// A check takes no longer.
     pub silence: Micros,
     /// First retries of all instances after a loss are spread over this.
@@ -45,7 +45,7 @@
             page_size: 64,
             dial_timeout: SECOND,
             answer_timeout: 3 * SECOND,
-            check: SECOND,
+            check_interval: SECOND,
             silence: 2 * SECOND,
             spread: 200 * MILLISECOND,
             longest_pause: 5 * SECOND,
@@ -61,7 +61,7 @@
             page_size: 1_024,
             dial_timeout: silence,
             answer_timeout: silence,
-            check,
+            check_interval: check,
             silence,
             spread: 100 * MILLISECOND,
             longest_pause: 2 * SECOND,
--- a/src/registry/documents/watching.rs
+++ b/src/registry/documents/watching.rs
@@ -175,7 +175,7 @@
             CheckOutcome::Pending => Ok(()),
             CheckOutcome::CountDiffers { .. } => Err(DocumentsError::CountDiffers),
             CheckOutcome::Consistent { sent } => {
-                watch.end_check(now, self.settings.check, &mut self.rng);
+                watch.end_check(now, self.settings.check_interval, &mut self.rng);
                 self.confirmed = self.confirmed.max(Some(sent));
                 self.rotation.record_success();
                 Ok(())
