--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -339,7 +339,7 @@
         let usual = || Settings {
             check_interval: self.spec.check_ms * 1_000,
             answer_timeout: self.spec.answer_ms * 1_000,
-            silence: self.spec.silence_ms * 1_000,
+            check_timeout: self.spec.silence_ms * 1_000,
             page_size: self.spec.page as i64,
             ..Settings::new(self.machines.len(), PREFIX)
         };
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -115,7 +115,7 @@
 
     /// Whether they were confirmed recently: two checks and a check's timeout ago at most.
     pub fn is_current(&self, now: Micros) -> bool {
-        let max_age = 2 * self.settings.check_interval + self.settings.silence;
+        let max_age = 2 * self.settings.check_interval + self.settings.check_timeout;
         self.confirmed.is_some_and(|confirmed| now.saturating_sub(confirmed) <= max_age)
     }
 
@@ -165,7 +165,7 @@
 
     /// When something is due without any input.
     pub fn next_due(&self) -> Micros {
-        self.state.due(self.settings.silence).min(self.calls.due())
+        self.state.due(self.settings.check_timeout).min(self.calls.due())
     }
 
     /// Accepts a call; it is sent as soon as the registry is followed.
@@ -198,7 +198,7 @@
         }
         let expired = self.calls.expire(now);
         actions.extend(expired.into_iter().map(|call| Action::Cancel { call }));
-        if now < self.state.due(self.settings.silence) {
+        if now < self.state.due(self.settings.check_timeout) {
             return;
         }
         match &self.state {
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -25,7 +25,7 @@
     /// Between two checks that the mirror is current.
     pub check_interval: Micros,
     /// A check takes no longer.
-    pub silence: Micros,
+    pub check_timeout: Micros,
     /// First retries of all instances after a loss are spread over this.
     pub spread: Micros,
     /// Longest pause between dials.
@@ -46,7 +46,7 @@
             dial_timeout: SECOND,
             answer_timeout: 3 * SECOND,
             check_interval: SECOND,
-            silence: 2 * SECOND,
+            check_timeout: 2 * SECOND,
             spread: 200 * MILLISECOND,
             longest_pause: 5 * SECOND,
             max_calls: 32,
@@ -62,7 +62,7 @@
             dial_timeout: silence,
             answer_timeout: silence,
             check_interval: check,
-            silence,
+            check_timeout: silence,
             spread: 100 * MILLISECOND,
             longest_pause: 2 * SECOND,
             ..Settings::new(endpoints, prefix)
