--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -27,7 +27,7 @@
     /// A check takes no longer.
     pub check_timeout: Micros,
     /// First retries of all instances after a loss are spread over this.
-    pub spread: Micros,
+    pub retry_spread: Micros,
     /// Longest pause between dials.
     pub longest_pause: Micros,
     /// Most calls of the owner that wait: for being sent, for their answer, or for the owner to take that.
@@ -47,7 +47,7 @@
             answer_timeout: 3 * SECOND,
             check_interval: SECOND,
             check_timeout: 2 * SECOND,
-            spread: 200 * MILLISECOND,
+            retry_spread: 200 * MILLISECOND,
             longest_pause: 5 * SECOND,
             max_calls: 32,
         }
@@ -63,7 +63,7 @@
             answer_timeout: silence,
             check_interval: check,
             check_timeout: silence,
-            spread: 100 * MILLISECOND,
+            retry_spread: 100 * MILLISECOND,
             longest_pause: 2 * SECOND,
             ..Settings::new(endpoints, prefix)
         }
