--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -341,7 +341,8 @@
         actions.push(Action::Disconnect { connection: id });
         self.counters.lost += 1;
         self.calls.abandon_sent();
-        let pauses = RetryPauses { spread: self.settings.retry_spread, longest: self.settings.longest_pause };
+        let pauses =
+            RetryPauses { spread: self.settings.retry_spread, longest: self.settings.max_retry_pause };
         let pause = match error {
             DocumentsError::TooManyDocuments { .. } => pauses.longest,
             _ => self.rotation.backoff(pauses.spread, pauses, &mut self.rng),
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -29,7 +29,7 @@
     /// First retries of all instances after a loss are spread over this.
     pub retry_spread: Micros,
     /// Longest pause between dials.
-    pub longest_pause: Micros,
+    pub max_retry_pause: Micros,
     /// Most calls of the owner that wait: for being sent, for their answer, or for the owner to take that.
     pub max_calls: usize,
 }
@@ -48,7 +48,7 @@
             check_interval: SECOND,
             check_timeout: 2 * SECOND,
             retry_spread: 200 * MILLISECOND,
-            longest_pause: 5 * SECOND,
+            max_retry_pause: 5 * SECOND,
             max_calls: 32,
         }
     }
@@ -64,7 +64,7 @@
             check_interval: check,
             check_timeout: silence,
             retry_spread: 100 * MILLISECOND,
-            longest_pause: 2 * SECOND,
+            max_retry_pause: 2 * SECOND,
             ..Settings::new(endpoints, prefix)
         }
     }
