--- a/src/registry/documents/calls.rs
+++ b/src/registry/documents/calls.rs
@@ -1,5 +1,5 @@
-//! The owner's calls: transactions and leases. Each call that is accepted gets exactly one reply. Nothing is sent
-//! twice: whether a call is repeated is the owner's decision, by what the mirror shows then.
+//! Calls of the owner and the campaign: transactions and lease operations. Each accepted call gets exactly one reply.
+//! Calls are never retried here; the caller decides whether to repeat a call, based on the mirror.
 
 use super::outputs::Rpc;
 use super::transaction::Transaction;
@@ -14,85 +14,86 @@
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Calls of the campaign that may wait beside the owner's.
+/// Maximum number of pending calls of the campaign beyond the limit for the owner.
 const MAX_CAMPAIGN_CALLS: usize = 8;
 const SECOND: Micros = 1_000_000;
-/// How the registry's own messages on exhausted resources begin; others are of a message that is too large here.
+/// Prefix of the messages with which the registry itself rejects a call for exhausted resources. Other such messages
+/// mean that a message exceeds the size limit of this client.
 const REGISTRY_MESSAGE_PREFIX: &str = "etcdserver:";
 
-/// Who made a call.
+/// The caller of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Caller {
-    /// The owner, with a number of its own.
+    /// The owner, with an id that the owner has chosen.
     Owner(u64),
-    /// The campaign for the planner's key.
+    /// The campaign for the planner's key, with the campaign's id for the call.
     Campaign(u64),
 }
 
-/// What can be asked of the registry.
+/// A request to the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Request {
-    /// A transaction; what it writes is attached to the lease, unless that is 0.
+    /// A transaction, and the lease to which the written keys are attached; 0 for none.
     Transaction(Transaction, i64),
-    /// A lease of so many seconds.
+    /// A grant of a lease with this time to live, in seconds.
     Grant(i64),
-    /// A keep-alive of a lease.
+    /// A keep-alive of this lease.
     KeepAlive(i64),
-    /// The end of a lease.
+    /// A revocation of this lease.
     Revoke(i64),
 }
 
-/// What has become of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It happened.
+    /// The transaction was committed.
     Committed {
-        /// Its revision.
+        /// Revision of the commit.
         revision: i64,
     },
-    /// A compare failed: nothing has happened.
+    /// A compare failed, so nothing was written.
     CompareFailed,
-    /// It may have happened, or may still happen: it was sent, and no answer arrived.
+    /// The transaction was sent, but no response arrived. It may have been committed, or may still be.
     Unknown,
-    /// Nothing has happened, nor will: it was not sent in time, or the registry rejected it.
+    /// The transaction is not and will not be committed: it was not sent in time, or the registry rejected it.
     NotSent,
 }
 
-/// What a call has led to.
+/// The reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// Of a transaction, or of any call that got no answer.
+    /// The result of a transaction, or of any call that failed.
     Outcome(Outcome),
-    /// The lease that was granted.
+    /// A lease was granted.
     Granted {
-        /// Its id.
+        /// Id of the lease.
         lease: i64,
-        /// How long it lasts.
+        /// Time to live, in microseconds.
         ttl: Micros,
     },
-    /// How long the lease lasts from when the registry received the keep-alive; 0: it has expired.
+    /// The registry received a keep-alive.
     KeptAlive {
-        /// How long it lasts.
+        /// Time to live from the receipt of the keep-alive, in microseconds; 0 if the lease has expired.
         ttl: Micros,
     },
-    /// The lease has ended.
+    /// The lease was revoked.
     Revoked,
 }
 
-/// A call that is not sent yet.
+/// A call that has not been sent yet.
 #[derive(Clone, Debug)]
 struct WaitingCall {
     caller: Caller,
     request: Request,
-    until: Micros,
+    deadline: Micros,
 }
 
-/// A call that has been sent.
+/// A call that has been sent and has no reply yet.
 #[derive(Clone, Debug)]
 struct SentCall {
     caller: Caller,
     kind: CallKind,
-    until: Micros,
+    deadline: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,30 +104,31 @@
     Revoke,
 }
 
-/// The calls from their acceptance to when the owner takes their replies.
+/// All calls from their acceptance until their replies are taken.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Calls {
     waiting: VecDeque<WaitingCall>,
     sent: BTreeMap<u64, SentCall>,
     replies: VecDeque<(Caller, Reply)>,
-    /// How many were sent.
+    /// Number of calls sent.
     pub(super) sent_count: u64,
-    /// How many got no answer.
+    /// Number of calls with an unknown result.
     pub(super) unknown_count: u64,
 }
 
 impl Calls {
-    /// Accepts a call that waits until `until` for being sent; `max_calls` of the owner may wait.
+    /// Accepts a call that expires at `deadline` unless it has been sent. At most `max_calls` calls of the owner may be
+    /// pending.
     pub(super) fn accept(
         &mut self,
         caller: Caller,
         request: Request,
-        until: Micros,
+        deadline: Micros,
         max_calls: usize,
     ) -> Result<(), DocumentsError> {
         let max_calls = match caller {
             Caller::Owner(_) => max_calls,
-            // The campaign has few calls, and must not lose its lease because the owner has many.
+            // The campaign makes few calls, and must not lose its lease because many calls of the owner are pending.
             Caller::Campaign(_) => max_calls.saturating_add(MAX_CAMPAIGN_CALLS),
         };
         if self.waiting.len() + self.sent.len() + self.replies.len() >= max_calls {
@@ -139,7 +141,7 @@
         if let Request::Transaction(transaction, _) = &request {
             transaction.validate()?;
         }
-        self.waiting.push_back(WaitingCall { caller, request, until });
+        self.waiting.push_back(WaitingCall { caller, request, deadline });
         Ok(())
     }
 
@@ -149,8 +151,9 @@
             || self.replies.iter().any(|(replied, _)| *replied == caller)
     }
 
-    /// Takes the oldest waiting call to send it under this number, with `until` as the limit for its answer.
-    pub(super) fn send_next(&mut self, call: u64, until: Micros, prefix: &str) -> Option<Rpc> {
+    /// Removes the oldest waiting call and returns it as an RPC to be sent under id `call`. The call expires at `deadline`
+    /// unless its response arrives.
+    pub(super) fn send_next(&mut self, call: u64, deadline: Micros, prefix: &str) -> Option<Rpc> {
         let WaitingCall { caller, request, .. } = self.waiting.pop_front()?;
         let (kind, rpc) = match request {
             Request::Transaction(transaction, lease) => {
@@ -161,7 +164,7 @@
             Request::Revoke(id) => (CallKind::Revoke, Rpc::Revoke(LeaseRevokeRequest { id })),
         };
         self.sent_count += 1;
-        self.sent.insert(call, SentCall { caller, kind, until });
+        self.sent.insert(call, SentCall { caller, kind, deadline });
         Some(rpc)
     }
 
@@ -169,12 +172,12 @@
         !self.waiting.is_empty()
     }
 
-    /// The kind of a call that has been sent.
+    /// Returns the kind of a call that has been sent.
     pub(super) fn kind(&self, call: u64) -> Option<CallKind> {
         self.sent.get(&call).map(|sent| sent.kind)
     }
 
-    /// Ends a call that has been sent with this reply.
+    /// Ends a sent call with this reply.
     pub(super) fn finish(&mut self, call: u64, reply: Reply) {
         if let Some(sent) = self.sent.remove(&call) {
             self.unknown_count += u64::from(reply == Reply::Outcome(Outcome::Unknown));
@@ -182,32 +185,32 @@
         }
     }
 
-    /// Ends all calls that have been sent, since their connection is given up: they may have happened.
+    /// Ends all sent calls with an unknown result, because their connection is closed.
     pub(super) fn abandon_sent(&mut self) {
         let calls: Vec<u64> = self.sent.keys().copied().collect();
         calls.into_iter().for_each(|call| self.finish(call, Reply::Outcome(Outcome::Unknown)));
     }
 
-    /// Ends the calls that have waited too long for being sent.
+    /// Ends the waiting calls whose deadline has passed as not sent.
     pub(super) fn expire_waiting(&mut self, now: Micros) {
-        while let Some(late) = self.waiting.pop_front_if(|waiting| waiting.until <= now) {
-            self.replies.push_back((late.caller, Reply::Outcome(Outcome::NotSent)));
+        while let Some(expired) = self.waiting.pop_front_if(|waiting| waiting.deadline <= now) {
+            self.replies.push_back((expired.caller, Reply::Outcome(Outcome::NotSent)));
         }
     }
 
-    /// Ends what has waited for too long; returns the calls that are to be cancelled.
+    /// Ends all calls whose deadline has passed; returns the sent ones, which are to be cancelled.
     pub(super) fn expire(&mut self, now: Micros) -> Vec<u64> {
         self.expire_waiting(now);
-        let late: Vec<u64> =
-            self.sent.iter().filter(|(_, sent)| sent.until <= now).map(|(call, _)| *call).collect();
-        late.iter().for_each(|call| self.finish(*call, Reply::Outcome(Outcome::Unknown)));
-        late
+        let expired: Vec<u64> =
+            self.sent.iter().filter(|(_, sent)| sent.deadline <= now).map(|(call, _)| *call).collect();
+        expired.iter().for_each(|call| self.finish(*call, Reply::Outcome(Outcome::Unknown)));
+        expired
     }
 
-    /// When the first of the calls expires.
+    /// Returns the earliest deadline of all calls.
     pub(super) fn due(&self) -> Micros {
-        let waiting = self.waiting.iter().map(|waiting| waiting.until);
-        let sent = self.sent.values().map(|sent| sent.until);
+        let waiting = self.waiting.iter().map(|waiting| waiting.deadline);
+        let sent = self.sent.values().map(|sent| sent.deadline);
         waiting.chain(sent).fold(Micros::MAX, Micros::min)
     }
 
@@ -220,40 +223,40 @@
     }
 }
 
-/// Decodes the answer to a call.
+/// Decodes the response to a call of this kind.
 pub(super) fn decode_reply(
     kind: CallKind,
     bytes: &[u8],
 ) -> Result<(Option<ResponseHeader>, Reply), MessageError> {
     match kind {
         CallKind::Transaction => {
-            let answer = TxnResponse::decode(bytes)?;
-            let revision = answer.header.map_or(0, |header| header.revision);
+            let response = TxnResponse::decode(bytes)?;
+            let revision = response.header.map_or(0, |header| header.revision);
             let committed = Outcome::Committed { revision };
-            let outcome = if answer.succeeded { committed } else { Outcome::CompareFailed };
-            Ok((answer.header, Reply::Outcome(outcome)))
+            let outcome = if response.succeeded { committed } else { Outcome::CompareFailed };
+            Ok((response.header, Reply::Outcome(outcome)))
         }
         CallKind::Grant => {
-            let answer = LeaseGrantResponse::decode(bytes)?;
-            let (lease, ttl) = (answer.id, micros(answer.ttl));
-            let is_granted = answer.error.is_empty() && lease != 0 && ttl > 0;
+            let response = LeaseGrantResponse::decode(bytes)?;
+            let (lease, ttl) = (response.id, micros(response.ttl));
+            let is_granted = response.error.is_empty() && lease != 0 && ttl > 0;
             let rejected = Reply::Outcome(Outcome::NotSent);
-            Ok((answer.header, if is_granted { Reply::Granted { lease, ttl } } else { rejected }))
+            Ok((response.header, if is_granted { Reply::Granted { lease, ttl } } else { rejected }))
         }
         CallKind::KeepAlive => {
-            let answer = LeaseKeepAliveResponse::decode(bytes)?;
-            Ok((answer.header, Reply::KeptAlive { ttl: micros(answer.ttl) }))
+            let response = LeaseKeepAliveResponse::decode(bytes)?;
+            Ok((response.header, Reply::KeptAlive { ttl: micros(response.ttl) }))
         }
         CallKind::Revoke => Ok((LeaseRevokeResponse::decode(bytes)?.header, Reply::Revoked)),
     }
 }
 
-/// A number of seconds; a negative one counts as none.
+/// Converts seconds to microseconds; a negative number becomes 0.
 fn micros(ttl_seconds: i64) -> Micros {
     u64::try_from(ttl_seconds).unwrap_or(0).saturating_mul(SECOND)
 }
 
-/// Whether the registry has rejected a call that ended so: nothing of it has happened.
+/// Whether a call that ended with this status was rejected by the registry without being executed.
 pub(super) fn is_rejected(status: &Status) -> bool {
     match status.code {
         code::INVALID_ARGUMENT
--- a/src/registry/documents/driver.rs
+++ b/src/registry/documents/driver.rs
@@ -1,5 +1,5 @@
-//! Joins the documents and the campaign to the event loop: the connection, calls and their answers, and the log. It
-//! decides nothing. The parts of the proxy that follow documents own one each.
+//! Connects the documents and the planner's campaign to the event loop: manages the connection, passes calls and
+//! responses on, and writes the log. Makes no decisions. Each part of the proxy that follows documents owns a driver.
 
 use super::{
     Action, Caller, Changes, Document, Documents, DocumentsError, FollowPhase, Notice, Outcome, Reply,
@@ -16,17 +16,17 @@
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
 
-/// How often what has arrived may lead to further calls within one turn.
+/// Maximum number of rounds of actions and received messages in a turn of the event loop.
 const MAX_ROUNDS_PER_TURN: usize = 3;
-/// Largest answer that is taken: more than the largest document that the registry takes by itself.
+/// Maximum size of a response, in bytes. Exceeds the registry's own maximum size of a document.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
-/// Claims of all instances are spread over this part of the lease.
-const CLAIM_SPREAD_PART: Micros = 5;
-/// The planner's transactions are sent and answered within this part of the lease each, so that they are done or dead
-/// before another instance can lead.
-const ANSWER_PART: Micros = 2;
+/// Divisor of the lease time for the range of the random delay of a claim.
+const CLAIM_SPREAD_DIVISOR: Micros = 5;
+/// Divisor of the lease time for the maximum time of each of the planner's transactions to be sent, and then to be
+/// answered, so that a transaction has ended before another instance can lead.
+const ANSWER_TIMEOUT_DIVISOR: Micros = 2;
 
-/// The documents of a registry as one instance follows and changes them.
+/// Driver through which an instance follows and changes the documents of a registry.
 pub struct DocumentsDriver {
     log: Logger,
     endpoints: Vec<SocketAddr>,
@@ -41,8 +41,8 @@
 }
 
 impl DocumentsDriver {
-    /// One that begins now, for an instance of this name, with random numbers from `seed`. `lease` is how long a planner
-    /// stays one without being heard, in microseconds; whole seconds are asked for.
+    /// Creates a driver for an instance with this name, which dials immediately. `lease` is the time to live of the
+    /// planner's lease, in microseconds, rounded up to whole seconds. `seed` initializes the random number generators.
     pub fn new(
         endpoints: Vec<SocketAddr>,
         prefix: &str,
@@ -52,13 +52,16 @@
         now: Micros,
         log: Logger,
     ) -> Self {
-        let usual = Settings::new(endpoints.len(), prefix);
-        let settings = Settings { answer_timeout: usual.answer_timeout.min(lease / ANSWER_PART), ..usual };
-        let campaign = Campaign::new(name, lease, lease / CLAIM_SPREAD_PART, seed.rotate_left(32));
+        let defaults = Settings::new(endpoints.len(), prefix);
+        let settings = Settings {
+            answer_timeout: defaults.answer_timeout.min(lease / ANSWER_TIMEOUT_DIVISOR),
+            ..defaults
+        };
+        let campaign = Campaign::new(name, lease, lease / CLAIM_SPREAD_DIVISOR, seed.rotate_left(32));
         DocumentsDriver { campaign, ..DocumentsDriver::new_follower(endpoints, settings, seed, now, log) }
     }
 
-    /// One that only follows, by these settings: it is no planner, and never wants to be one.
+    /// Creates a driver that only follows documents and never becomes the planner.
     pub fn new_follower(
         endpoints: Vec<SocketAddr>,
         settings: Settings,
@@ -80,80 +83,82 @@
         }
     }
 
-    /// The token of its connection.
+    /// Returns the event loop token of the connection.
     pub fn token(&self) -> Option<Token> {
         self.link.as_ref().map(Link::token)
     }
 
-    /// When it wants a turn without any input.
+    /// Time at which the next turn is due without further input.
     pub fn next_due(&self) -> Micros {
         self.documents.next_due().min(self.campaign.next_due())
     }
 
-    /// Whether there is more to do than the last turn did.
+    /// Whether the last turn left work to do.
     pub fn wants_turn(&self) -> bool {
         self.has_work || !self.actions.is_empty()
     }
 
-    /// Takes an event of the event loop.
+    /// Handles an event of the event loop.
     pub fn ready(&mut self, event: Ready) {
         if let Some(link) = self.link.as_mut().filter(|link| link.token() == event.token) {
             link.mark_ready();
         }
     }
 
-    /// A document, by its key below the prefix.
+    /// Returns the document with this key, which is without the prefix.
     pub fn get(&self, key: &str) -> Option<&Document> {
         self.documents.get(key)
     }
 
-    /// All documents whose keys begin so, in order; the planner's own key [`PLANNER_KEY`] is among them.
+    /// Returns all documents whose keys begin with `prefix`, in ascending order. The planner's key [`PLANNER_KEY`] is
+    /// included.
     pub fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
         self.documents.with_prefix(prefix)
     }
 
-    /// Whether the documents were confirmed within the last few seconds.
+    /// Whether the documents were confirmed recently; see [`Documents::is_current`].
     pub fn is_current(&self, now: Micros) -> bool {
         self.documents.is_current(now)
     }
 
-    /// As of when the documents were last known to be current.
+    /// Returns the latest time at which the documents are known to have been current.
     pub fn confirmed(&self) -> Option<Micros> {
         self.documents.confirmed()
     }
 
-    /// How far the connection is.
+    /// Returns the phase of the connection.
     pub fn phase(&self) -> FollowPhase {
         self.documents.phase()
     }
 
-    /// The revision that the documents are of; 0: none were listed yet.
+    /// Returns the revision of the documents; 0 before the first list.
     pub fn revision(&self) -> i64 {
         self.documents.revision()
     }
 
-    /// Keys that have changed since the last call of this.
+    /// Returns the keys that have changed since the last call of this method.
     pub fn take_changes(&mut self) -> Changes {
         self.documents.take_changes()
     }
 
-    /// Whether this instance is to become and stay the planner.
-    pub fn set_campaigning(&mut self, on: bool) {
-        self.campaign.set_enabled(on);
+    /// Sets whether this instance competes to be the planner.
+    pub fn set_campaigning(&mut self, enabled: bool) {
+        self.campaign.set_enabled(enabled);
         self.has_work = true;
     }
 
-    /// The planner's fence, if this instance is the planner now. What a planner writes goes through
-    /// [`lease::fenced`] with it.
+    /// Returns the fence while this instance is the planner. The planner must pass each of its transactions through
+    /// [`lease::fenced`] with this fence.
     pub fn fence(&self, now: Micros) -> Option<i64> {
         self.campaign.fence(now)
     }
 
-    /// Takes a transaction under a number that no other one that waits has. It is sent at the next turn while the
-    /// registry is followed; if that does not come to be in time its outcome is [`Outcome::NotSent`].
+    /// Accepts a transaction with an id that no pending transaction has. The transaction is sent at the next turn if the
+    /// watch is open. The outcome is [`Outcome::NotSent`] if the transaction can't be sent in time.
     ///
     /// # Errors
-    /// It was not taken, and gets no outcome: too many wait, or it could never be carried out.
+    /// The transaction is not accepted and gets no outcome if too many are pending, if its id is in use, or if the
+    /// registry would reject the transaction.
     pub fn submit(&mut self, now: Micros, id: u64, transaction: Transaction) -> Result<(), DocumentsError> {
         if transaction.written_keys().any(|key| key == PLANNER_KEY) {
             return Err(DocumentsError::ReservedKey { key: PLANNER_KEY.to_owned() });
@@ -161,7 +166,7 @@
         if self.outcomes.iter().any(|(pending, _)| *pending == id) {
             return Err(DocumentsError::DuplicateId { id });
         }
-        // Outcomes that were not taken count too: they have no other bound.
+        // Outcomes that the owner has not taken count too, because nothing else bounds their number.
         let max_calls = self.documents.settings.max_calls;
         if self.outcomes.len() >= max_calls {
             return Err(DocumentsError::Busy { max_calls });
@@ -170,13 +175,13 @@
         self.documents.submit(now, Caller::Owner(id), request, &mut self.actions)
     }
 
-    /// Outcomes since the last call of this; each transaction that was taken gets exactly one.
+    /// Returns the outcomes since the last call of this method. Each accepted transaction gets exactly one outcome.
     pub fn take_outcomes(&mut self) -> Vec<(u64, Outcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Does what is due and what can be done. What has arrived is read before silence is judged: it may have lain
-    /// there since the process was stopped.
+    /// Runs all work that is due. Received data is read before timeouts are checked, because data may have arrived while
+    /// the process was paused.
     pub fn turn(&mut self, now: Micros, event_loop: &mut EventLoop) {
         self.documents.expire_waiting_calls(now);
         self.poll_link(now);
@@ -196,7 +201,7 @@
         self.run_campaign(now);
     }
 
-    /// Hands replies on, and lets the campaign go on.
+    /// Passes replies on to their callers and advances the campaign.
     fn run_campaign(&mut self, now: Micros) {
         for (caller, reply) in self.documents.take_replies() {
             match (caller, reply) {
@@ -204,7 +209,7 @@
                     self.campaign.reply_received(now, id, reply, &mut self.campaign_actions);
                 }
                 (Caller::Owner(id), Reply::Outcome(outcome)) => self.outcomes.push((id, outcome)),
-                // The owner submits transactions only, so this is no reply to one.
+                // The owner submits only transactions, so any other kind of reply is unexpected.
                 (Caller::Owner(id), _) => self.outcomes.push((id, Outcome::Unknown)),
             }
         }
@@ -227,7 +232,7 @@
     fn submit_for_campaign(&mut self, now: Micros, id: u64, request: Request) {
         let submitted = self.documents.submit(now, Caller::Campaign(id), request, &mut self.actions);
         if let Err(error) = submitted {
-            warn!(self.log, "documents: the planner's call was not accepted"; "why" => %error);
+            warn!(self.log, "documents: call of the planner's campaign was not accepted"; "why" => %error);
             let reply = Reply::Outcome(Outcome::NotSent);
             self.campaign.reply_received(now, id, reply, &mut self.campaign_actions);
         }
@@ -257,7 +262,7 @@
         }
     }
 
-    /// Sends and receives, and hands what has arrived to the documents.
+    /// Sends and receives on the connection, and passes received events to the documents.
     fn poll_link(&mut self, now: Micros) {
         let Some(link) = &mut self.link else { return };
         let mut events = std::mem::take(&mut self.events);
@@ -298,10 +303,10 @@
             }
             Notice::Disconnected { endpoint, error } => {
                 let address = self.endpoints.get(endpoint).map(ToString::to_string);
-                warn!(log, "documents: connection given up"; "endpoint" => address, "why" => %error);
+                warn!(log, "documents: connection lost"; "endpoint" => address, "why" => %error);
             }
             Notice::Rejected(status) => {
-                warn!(log, "documents: a call was rejected, nothing has happened"; "why" => %status);
+                warn!(log, "documents: registry rejected a call without executing it"; "why" => %status);
             }
         }
     }
@@ -310,10 +315,14 @@
         let log = &self.log;
         match notice {
             lease::Notice::PlannerChanged(planner) => {
-                info!(log, "planner: another or none"; "planner" => planner)
+                info!(log, "planner: leader changed"; "planner" => planner)
+            }
+            lease::Notice::Elected { fence } => {
+                info!(log, "planner: this instance was elected leader"; "fence" => fence)
+            }
+            lease::Notice::Lost(reason) => {
+                warn!(log, "planner: leadership lost or not gained"; "why" => ?reason)
             }
-            lease::Notice::Elected { fence } => info!(log, "planner: this instance"; "fence" => fence),
-            lease::Notice::Lost(why) => warn!(log, "planner: not this instance any more"; "why" => ?why),
         }
     }
 }
--- a/src/registry/documents/error.rs
+++ b/src/registry/documents/error.rs
@@ -1,118 +1,118 @@
-//! What can go wrong with documents, for the operators and for the owner.
+//! Errors of following and changing documents, for operators and for the owner.
 
 use super::Settings;
 use crate::registry::answers::MessageError;
 use crate::registry::status::Status;
 
-/// What went wrong, and what can be done.
+/// An error of the documents. The message says what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentsError {
-    /// As many calls wait as may.
-    #[error("{max_calls} calls wait for the registry's answers or for being taken, no more may: look after the registry's health; nothing was sent")]
+    /// The maximum number of calls is pending.
+    #[error(
+        "the maximum of {max_calls} calls is pending: check the health of the registry; nothing was sent"
+    )]
     Busy {
-        /// How many may.
+        /// Maximum number of pending calls.
         max_calls: usize,
     },
-    /// A call with this number waits already.
-    #[error(
-        "a transaction with number {id} waits already: a fault of this program, report it; nothing was sent"
-    )]
+    /// A call with the same id is pending.
+    #[error("a transaction with id {id} is already pending: this is a bug, report it; nothing was sent")]
     DuplicateId {
-        /// The number.
+        /// Id of the call.
         id: u64,
     },
-    /// A transaction has more operations than the registry takes.
-    #[error("a transaction of {operations} compares or writes, the registry takes {max_operations}: fewer shards or moves at a time; nothing was sent")]
+    /// A transaction has more operations than the registry accepts.
+    #[error("the transaction has {operations} compares or writes, the registry accepts at most {max_operations}: use fewer shards or moves at a time; nothing was sent")]
     TooManyOperations {
-        /// How many it has, of compares or of writes.
+        /// Number of compares or of writes, whichever is greater.
         operations: usize,
-        /// How many may be.
+        /// Maximum number of compares or of writes.
         max_operations: usize,
     },
-    /// A transaction has more bytes than the registry takes.
-    #[error("a transaction of {bytes} bytes, the registry takes {max_bytes}: fewer shards or shorter names; nothing was sent")]
+    /// A transaction is larger than the registry accepts.
+    #[error("the transaction has {bytes} bytes, the registry accepts at most {max_bytes}: use fewer shards or shorter names; nothing was sent")]
     TooLarge {
-        /// How many it has.
+        /// Size of the transaction, in bytes.
         bytes: usize,
-        /// How many may be.
+        /// Maximum size, in bytes.
         max_bytes: usize,
     },
-    /// A transaction writes this key more than once.
-    #[error("a transaction writes key '{key}' twice: a fault of this program, report it; nothing was sent")]
+    /// A transaction writes a key more than once.
+    #[error("the transaction writes key '{key}' more than once: this is a bug, report it; nothing was sent")]
     DuplicateKey {
-        /// The key.
+        /// The key that is written more than once.
         key: String,
     },
-    /// A key that can't be written here.
+    /// A transaction uses an empty key, or writes the planner's key.
     #[error(
-        "key '{key}' is empty or the planner's own: a fault of this program, report it; nothing was sent"
+        "key '{key}' is empty or reserved for the planner's lease: this is a bug, report it; nothing was sent"
     )]
     ReservedKey {
-        /// The key.
+        /// The rejected key.
         key: String,
     },
-    /// An endpoint could not be dialed in time, or at all.
+    /// The dial of an endpoint failed or timed out.
     #[error(
-        "nobody answers there: look whether the member runs and the endpoint is right; the next one is tried"
+        "the endpoint is unreachable: check that the member is running and that the endpoint is correct; trying the next endpoint"
     )]
     Unreachable,
-    /// A connection broke, or the other end closed it.
-    #[error("the connection broke: nothing to do unless it repeats, the next endpoint is tried")]
+    /// The connection failed, or the registry closed it.
+    #[error("the connection was lost: no action is needed unless this repeats; trying the next endpoint")]
     ConnectionLost,
-    /// Nothing came for too long.
+    /// No response arrived in time.
     #[error(
-        "nothing came for too long: look whether the member is overloaded or cut off; the next one is tried"
+        "the registry did not respond in time: check whether the member is overloaded or partitioned; trying the next endpoint"
     )]
     TimedOut,
-    /// A call failed.
-    #[error("the registry answered {0}: see its log; the next endpoint is tried")]
+    /// A call failed with this status.
+    #[error("the registry responded with {0}: see its log; trying the next endpoint")]
     CallFailed(Status),
     /// A message violates the protocol.
-    #[error("what came makes no sense ({0}): look what listens there; the next endpoint is tried")]
+    #[error(
+        "the message is invalid ({0}): check which service listens on the endpoint; trying the next endpoint"
+    )]
     InvalidMessage(#[from] MessageError),
-    /// The registry counts another number of keys than the mirror has.
-    #[error("the watch can't be trusted (the count of keys differs): nothing to do unless it repeats, a new list is taken")]
+    /// The registry's count of keys differs from the number of mirrored documents.
+    #[error("the watch is inconsistent (the registry's count of keys differs from the mirror): no action is needed unless this repeats; reading a new list")]
     CountDiffers,
-    /// A message of the watch has more bytes than may be kept.
-    #[error("the watch can't be trusted (more at once than there may be): nothing to do unless it repeats, a new list is taken")]
+    /// A message of the watch, over all its fragments, exceeds the maximum size of the documents.
+    #[error("the watch is inconsistent (a message exceeds the maximum size of all documents): no action is needed unless this repeats; reading a new list")]
     WatchMessageTooLarge,
-    /// Revisions that were needed are compacted.
-    #[error(
-        "history was compacted while it was read: compact less often if this repeats; a new list is taken"
-    )]
+    /// The registry has compacted revisions that the list or the watch needs.
+    #[error("the required revisions were compacted: compact less often if this repeats; reading a new list")]
     Compacted,
-    /// A member shows less than was accepted.
-    #[error("it shows revision {revision}, {accepted} has been seen: the member lags, or the registry was restored from a backup; if that is meant, restart the instances, until then the last good documents stay")]
+    /// A member reports an older revision than one that was already accepted.
+    #[error("the member reports revision {revision}, but revision {accepted} was already accepted: the member lags, or the registry was restored from a backup; if it was restored, restart the instances; the last valid documents are kept until then")]
     MemberBehind {
-        /// The revision that it shows.
+        /// Revision that the member reports.
         revision: i64,
-        /// The revision that was accepted.
+        /// Latest accepted revision.
         accepted: i64,
     },
     /// A member belongs to another cluster.
-    #[error("it belongs to cluster {cluster:016x}, not {followed:016x}: check the endpoints; if the registry was replaced, restart the instances, until then the last good documents stay")]
+    #[error("the member belongs to cluster {cluster:016x}, not {followed:016x}: check the endpoints; if the registry was replaced, restart the instances; the last valid documents are kept until then")]
     OtherCluster {
-        /// Its cluster.
+        /// Cluster of the member.
         cluster: u64,
-        /// The cluster that is followed.
+        /// Cluster of the mirrored documents.
         followed: u64,
     },
-    /// More documents than there may be.
-    #[error("{keys} keys with {bytes} bytes below the prefix, {max_keys} with {max_bytes} may be: remove what does not belong there or give the fleet a prefix of its own; the last good documents stay")]
+    /// The documents exceed the maximum number or size.
+    #[error("{keys} keys with {bytes} bytes have the prefix, at most {max_keys} keys with {max_bytes} bytes are allowed: remove keys that do not belong to the fleet or use a separate prefix; the last valid documents are kept")]
     TooManyDocuments {
-        /// How many keys, as far as they were read.
+        /// Number of keys read or counted so far.
         keys: u64,
-        /// How many bytes, as far as they were read.
+        /// Size of the documents read so far, in bytes.
         bytes: u64,
-        /// How many keys may be.
+        /// Maximum number of keys.
         max_keys: usize,
-        /// How many bytes may be.
+        /// Maximum size of the documents, in bytes.
         max_bytes: usize,
     },
 }
 
 impl DocumentsError {
-    /// There are so many documents with so many bytes, more than the settings allow.
+    /// Returns the error for this number of keys and bytes, which exceeds the limits of the settings.
     pub(super) fn limit_exceeded(keys: u64, bytes: usize, settings: &Settings) -> Self {
         DocumentsError::TooManyDocuments {
             keys,
--- a/src/registry/documents/listing.rs
+++ b/src/registry/documents/listing.rs
@@ -1,4 +1,4 @@
-//! Reading a list of all documents page by page, as of one revision.
+//! Reads a list of all documents page by page, as of one revision.
 
 use super::mirror::{decode_document, document_bytes, DocumentMap};
 use super::watching::WatchCall;
@@ -9,17 +9,18 @@
 use crate::routing::events::Micros;
 use prost::Message;
 
-/// A list that is being read.
+/// A list in progress.
 #[derive(Clone, Debug)]
 pub(super) struct List {
-    /// The call for the page that is awaited.
+    /// Id of the call for the current page.
     call: u64,
-    began: Micros,
-    /// The cluster and the revision that all pages are of; revision 0: no page has arrived yet.
+    started_at: Micros,
+    /// Cluster and revision of all pages. The revision is 0 until the first page arrives.
     cluster: u64,
     revision: i64,
-    /// The first key of the next page.
+    /// First key of the next page.
     from: Vec<u8>,
+    /// Maximum number of keys in the next page.
     limit: i64,
     documents: DocumentMap,
     bytes: usize,
@@ -29,7 +30,7 @@
     pub(super) fn new(now: Micros, settings: &Settings) -> Self {
         List {
             call: 0,
-            began: now,
+            started_at: now,
             cluster: 0,
             revision: 0,
             from: settings.prefix.clone().into_bytes(),
@@ -39,11 +40,12 @@
         }
     }
 
+    /// Whether the current page is requested by this call.
     pub(super) fn awaits(&self, call: u64) -> bool {
         self.call == call
     }
 
-    /// Halves the pages; `false`: they have one key already.
+    /// Halves the page size; returns `false` if a page has only one key already.
     pub(super) fn halve_page(&mut self) -> bool {
         let can_be_halved = self.limit > 1;
         if can_be_halved {
@@ -52,7 +54,8 @@
         can_be_halved
     }
 
-    /// Pins the list to the revision of its first page, which is `accepted` at least; checks that others are of it.
+    /// Pins the list to the cluster and revision of its first page, which must not be older than `accepted`. Checks that
+    /// the further pages belong to the same cluster and are not older.
     fn pin(&mut self, header: ResponseHeader, accepted: i64) -> Result<(), DocumentsError> {
         let ResponseHeader { cluster_id: cluster, revision, .. } = header;
         if self.revision == 0 {
@@ -66,7 +69,7 @@
         Ok(())
     }
 
-    /// Adds the keys of a page, which follow those of the pages before.
+    /// Adds the keys of a page, which must follow the keys of the previous pages.
     fn add(&mut self, kvs: Vec<KeyValue>, prefix: &str) -> Result<(), MessageError> {
         for kv in kvs {
             let (key, document) = decode_document(prefix, kv, self.revision)?;
@@ -79,7 +82,7 @@
         Ok(())
     }
 
-    /// Checks that there are no more documents than allowed; `count` is the registry's count of keys.
+    /// Checks that the documents are within the limits; `count` is the number of keys that the registry reports.
     fn check_limits(&self, count: i64, settings: &Settings) -> Result<(), DocumentsError> {
         let keys = (self.documents.len() as u64).max(u64::try_from(count).unwrap_or(0));
         if keys > settings.max_keys as u64 || self.bytes > settings.max_bytes {
@@ -88,7 +91,7 @@
         Ok(())
     }
 
-    /// Moves on to the page behind the last key.
+    /// Advances to the page that starts after the last key.
     fn advance(&mut self, prefix: &str) -> Result<(), MessageError> {
         let (last, _) = self.documents.last_key_value().ok_or(MessageError::EmptyPage)?;
         let from = key_after(&[prefix.as_bytes(), last].concat());
@@ -101,9 +104,10 @@
 }
 
 impl Documents {
+    /// Requests the next page of the list.
     pub(super) fn request_page(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let call = self.next_number();
-        let range = self.range();
+        let call = self.next_id();
+        let range = self.prefix_range();
         let State::Listing { until, list, .. } = &mut self.state else { return };
         list.call = call;
         *until = now.saturating_add(self.settings.answer_timeout);
@@ -112,7 +116,7 @@
         actions.push(Action::Call { call, rpc: Rpc::Range(request) });
     }
 
-    /// A page has arrived.
+    /// Handles a page of the list.
     pub(super) fn page_received(
         &mut self,
         now: Micros,
@@ -135,19 +139,19 @@
         Ok(())
     }
 
-    /// All pages have arrived: takes the list for the mirror and watches what follows it.
+    /// Replaces the mirror by the complete list and watches the changes after its revision.
     fn complete_list(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let State::Listing { connection, list, .. } = &mut self.state else { return };
         let connection = *connection;
-        let List { began, cluster, revision, bytes, .. } = **list;
+        let List { started_at, cluster, revision, bytes, .. } = **list;
         self.mirror.replace(std::mem::take(&mut list.documents), bytes, revision);
         self.position.cluster = Some(cluster);
         self.position.advance(revision);
-        self.confirmed = self.confirmed.max(Some(began));
+        self.confirmed = self.confirmed.max(Some(started_at));
         self.counters.lists += 1;
-        let (keys, took) = (self.mirror.documents.len(), now.saturating_sub(began));
+        let (keys, took) = (self.mirror.documents.len(), now.saturating_sub(started_at));
         actions.push(Action::Notify(Notice::ListTaken { revision, keys, took }));
-        let call = self.next_number();
+        let call = self.next_id();
         let rpc = Rpc::Watch(self.watch_request(revision.saturating_add(1)));
         actions.push(Action::Call { call, rpc });
         let confirmed_by = now.saturating_add(self.settings.answer_timeout);
--- a/src/registry/documents/mirror.rs
+++ b/src/registry/documents/mirror.rs
@@ -1,63 +1,65 @@
-//! The copy of all documents as of one revision, and which of them have changed since the owner last asked.
+//! The mirror: a copy of all documents as of one revision, with the keys that have changed since the owner last took
+//! the changes.
 
 use super::{DocumentsError, Settings};
 use crate::registry::answers::MessageError;
 use crate::registry::messages::KeyValue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changed keys that are reported one by one; beyond, only that any may have changed.
+/// Maximum number of changed keys that are recorded. Beyond this number, any key is considered changed.
 const MAX_CHANGED_KEYS: usize = 4_096;
-/// Bytes that a document takes beyond its key and value.
+/// Estimated memory of a document beyond its key and value, in bytes.
 const DOCUMENT_OVERHEAD_BYTES: usize = 64;
 
-/// One document.
+/// A document: the value of a key, with its revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Document {
-    /// Its value.
+    /// Value of the key.
     pub value: Vec<u8>,
-    /// The revision of its last change.
+    /// Revision of the last change.
     pub mod_revision: i64,
-    /// The revision at which it was created.
+    /// Revision at which the key was created.
     pub create_revision: i64,
-    /// The lease that it ends with; 0: none.
+    /// Lease whose end deletes the document; 0 if there is none.
     pub lease: i64,
 }
 
-/// Keys that have changed.
+/// Keys that have changed since the last call of [`Documents::take_changes`](super::Documents::take_changes).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// These, in order, below the prefix.
+    /// Changed keys in ascending order, without the prefix.
     pub keys: Vec<String>,
-    /// More than are listed: any may have changed.
+    /// Whether more keys have changed than are recorded, so that any key may have changed.
     pub all: bool,
 }
 
-/// The documents by key below the prefix.
+/// Documents by key, without the prefix.
 pub(super) type DocumentMap = BTreeMap<Vec<u8>, Document>;
 
-/// A key with its document; `None`: it was deleted.
+/// A changed key with its new document, or `None` if the key was deleted.
 pub(super) type Change = (Vec<u8>, Option<Document>);
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Mirror {
     pub(super) documents: DocumentMap,
+    /// Total size of the documents, in bytes.
     pub(super) bytes: usize,
-    /// The revision that the documents are of; 0: nothing was listed yet.
+    /// Revision of the documents; 0 before the first list.
     pub(super) revision: i64,
     changed: BTreeSet<Vec<u8>>,
     all_changed: bool,
 }
 
 impl Mirror {
-    /// All documents whose keys begin with `prefix`, in order, without those whose keys are no text.
+    /// Returns all documents whose keys begin with `prefix`, in ascending order. Keys that are not UTF-8 are skipped.
     pub(super) fn with_prefix<'a>(
         &'a self,
         prefix: &str,
     ) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
         let prefix = prefix.as_bytes().to_vec();
         let from = self.documents.range(prefix.clone()..);
-        let inside = from.take_while(move |(key, _)| key.starts_with(&prefix));
-        inside.filter_map(|(key, document)| Some((std::str::from_utf8(key).ok()?, document)))
+        let matching = from.take_while(move |(key, _)| key.starts_with(&prefix));
+        matching.filter_map(|(key, document)| Some((std::str::from_utf8(key).ok()?, document)))
     }
 
     pub(super) fn take_changes(&mut self) -> Changes {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Replaces the documents by those of a complete list; what it lacks is deleted.
+    /// Replaces the documents by those of a complete list. Documents that are not in the list are removed.
     pub(super) fn replace(&mut self, listed: DocumentMap, bytes: usize, revision: i64) {
         let is_changed = |key: &Vec<u8>, new: &Document| {
             self.documents.get(key).is_none_or(|old| old.mod_revision != new.mod_revision)
@@ -80,7 +82,7 @@
         (self.documents, self.bytes, self.revision) = (listed, bytes, revision);
     }
 
-    /// Applies all changes of one revision; none if there would be more documents than the settings allow.
+    /// Applies all changes of one revision, or none if the documents would exceed the limits of the settings.
     pub(super) fn apply_revision(
         &mut self,
         revision: i64,
@@ -120,12 +122,12 @@
     }
 }
 
-/// What a document counts towards the most bytes that are kept.
+/// Size of a document that counts towards `max_bytes`, in bytes.
 pub(super) fn document_bytes(key: &[u8], document: &Document) -> usize {
     key.len() + document.value.len() + DOCUMENT_OVERHEAD_BYTES
 }
 
-/// A key below the prefix with its document, which is no newer than `max_revision`.
+/// Returns the key without the prefix, and the document, whose revision must not exceed `max_revision`.
 pub(super) fn decode_document(
     prefix: &str,
     kv: KeyValue,
--- a/src/registry/documents/mod.rs
+++ b/src/registry/documents/mod.rs
@@ -1,11 +1,10 @@
-//! Durable documents below a prefix of the registry: a mirror of all of them, and transactions that change them.
+//! Durable documents under a key prefix of the registry: a mirror of all documents, and transactions that change them.
 //!
-//! A state machine without clock and sockets: its owner, [`driver`], tells it what has happened and carries out the
-//! [`Action`]s that it returns. `listing` and `watching` keep the `mirror` current, `calls` has the owner's
-//! transactions and leases.
+//! A state machine without clock and sockets: [`driver`] passes in the events and executes the returned [`Action`]s.
+//! `listing` and `watching` keep the `mirror` current; `calls` handles transactions and lease operations.
 //!
 //! ```text
-//!          rested              dialed               all pages
+//!         pause over           dialed               all pages
 //!  Backoff ------> Dialing ------------> Listing ------------> Watching, calls are sent
 //!     ^               |                     |                     |
 //!     +---------------+---------------------+---------------------+ lost, timed out, inconsistent
@@ -13,13 +12,13 @@
 //!
 //! Invariants:
 //!
-//! - The mirror never goes back, and never shows what the registry never had. A list is applied only whole, as of one
-//!   revision, and only if that is no older than any that was accepted of this cluster. Changes are applied revision by
-//!   revision, each once.
-//! - No change is missed unnoticed. The count of keys and the watch's progress are asked for again and again; any
-//!   difference ends the connection, and a new list is read. Until then the last good mirror stays, and
+//! - The mirror never goes back to an older revision, and only shows states that the registry has had. A list is applied
+//!   only as a whole, as of one revision, and only if that revision is not older than any accepted one of the cluster.
+//!   Changes are applied one revision at a time, each exactly once.
+//! - No missed change goes undetected. The number of keys and the progress of the watch are checked regularly; any
+//!   difference closes the connection, and a new list is read. The last valid mirror is kept until then, and
 //!   [`Documents::confirmed`] tells its age.
-//! - No transaction is sent twice: whether it is repeated is the owner's decision.
+//! - No transaction is sent twice: the owner decides whether to repeat a transaction.
 
 mod calls;
 pub mod driver;
@@ -58,25 +57,26 @@
 type WatchState = super::connection::consistency::WatchState<Event, i64, WatchCall>;
 type State = ConnectionState<List, WatchState>;
 
-/// The documents, as one instance knows them.
+/// The documents as mirrored by one instance.
 #[derive(Clone, Debug)]
 pub struct Documents {
     settings: Settings,
     rng: Pcg32,
     rotation: EndpointRotation,
     state: State,
-    /// The latest state that was accepted.
+    /// Cluster and latest revision accepted.
     position: Position<i64>,
     mirror: Mirror,
-    /// As of when the mirror was last known to be current.
+    /// Latest time at which the mirror is known to have been current.
     confirmed: Option<Micros>,
     calls: Calls,
-    last_number: u64,
+    /// Last id given to a connection or call.
+    last_id: u64,
     counters: Counters,
 }
 
 impl Documents {
-    /// Follows none yet, with random numbers from `seed`.
+    /// Creates an empty mirror whose first dial is due at `now`. `seed` initializes the random number generator.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         Documents {
@@ -87,69 +87,69 @@
             mirror: Mirror::default(),
             confirmed: None,
             calls: Calls::default(),
-            last_number: 0,
+            last_id: 0,
             counters: Counters::default(),
             settings,
         }
     }
 
-    /// A document, by its key below the prefix.
+    /// Returns the document with this key, which is without the prefix.
     pub fn get(&self, key: &str) -> Option<&Document> {
         self.mirror.documents.get(key.as_bytes())
     }
 
-    /// All documents whose keys begin with `prefix`, in order, without those whose keys are no text.
+    /// Returns all documents whose keys begin with `prefix`, in ascending order. Keys that are not UTF-8 are skipped.
     pub fn with_prefix<'a>(&'a self, prefix: &str) -> impl Iterator<Item = (&'a str, &'a Document)> + 'a {
         self.mirror.with_prefix(prefix)
     }
 
-    /// The revision that the documents are of; 0: none were listed yet.
+    /// Returns the revision of the documents; 0 before the first list.
     pub fn revision(&self) -> i64 {
         self.mirror.revision
     }
 
-    /// As of when the documents were last known to be current.
+    /// Returns the latest time at which the documents are known to have been current.
     pub fn confirmed(&self) -> Option<Micros> {
         self.confirmed
     }
 
-    /// Whether they were confirmed recently: two checks and a check's timeout ago at most.
+    /// Whether the documents were confirmed recently: at most two check intervals and a check timeout ago.
     pub fn is_current(&self, now: Micros) -> bool {
         let max_age = 2 * self.settings.check_interval + self.settings.check_timeout;
         self.confirmed.is_some_and(|confirmed| now.saturating_sub(confirmed) <= max_age)
     }
 
-    /// Keys that have changed since the last call of this.
+    /// Returns the keys that have changed since the last call of this method.
     pub fn take_changes(&mut self) -> Changes {
         self.mirror.take_changes()
     }
 
-    /// Replies to calls since the last call of this. Each accepted call gets exactly one.
+    /// Returns the replies since the last call of this method. Each accepted call gets exactly one reply.
     pub fn take_replies(&mut self) -> impl Iterator<Item = (Caller, Reply)> + '_ {
         self.calls.take_replies()
     }
 
-    /// Whether replies wait to be taken.
+    /// Whether there are replies to take.
     pub fn has_replies(&self) -> bool {
         self.calls.has_replies()
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         Counters { calls: self.calls.sent_count, unknown: self.calls.unknown_count, ..self.counters }
     }
 
-    /// How many documents there are, and their bytes.
+    /// Returns the number of documents and their total size, in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.mirror.documents.len(), self.mirror.bytes)
     }
 
-    /// Whether a whole list was taken and is being followed.
+    /// Whether a complete list was applied and its changes are being watched.
     pub fn is_watching(&self) -> bool {
         self.state.is_watching()
     }
 
-    /// How far the connection is.
+    /// Returns the phase of the connection.
     pub fn phase(&self) -> FollowPhase {
         match &self.state {
             State::Backoff { .. } => FollowPhase::Disconnected,
@@ -163,15 +163,16 @@
         }
     }
 
-    /// When something is due without any input.
+    /// Time at which the next tick is due without further input.
     pub fn next_due(&self) -> Micros {
         self.state.due(self.settings.check_timeout).min(self.calls.due())
     }
 
-    /// Accepts a call; it is sent as soon as the registry is followed.
+    /// Accepts a call, which is sent as soon as the watch is open.
     ///
     /// # Errors
-    /// It was not accepted, and gets no reply: too many wait, its number is in use, or the registry would not take it.
+    /// The call is not accepted and gets no reply if too many calls are pending, if its id is in use, or if the registry
+    /// would reject the transaction.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -179,19 +180,19 @@
         request: Request,
         actions: &mut Vec<Action>,
     ) -> Result<(), DocumentsError> {
-        let until = now.saturating_add(self.settings.answer_timeout);
-        self.calls.accept(caller, request, until, self.settings.max_calls)?;
+        let deadline = now.saturating_add(self.settings.answer_timeout);
+        self.calls.accept(caller, request, deadline, self.settings.max_calls)?;
         self.send_calls(now, actions);
         Ok(())
     }
 
-    /// Ends the calls that have waited too long for being sent, before what has arrived lets any go out: a planner's might
-    /// be carried out after its lease.
+    /// Ends the calls that were not sent in time. Must run before received messages are handled, because those may cause
+    /// waiting calls to be sent, and a planner's late call could be executed after its lease has expired.
     pub fn expire_waiting_calls(&mut self, now: Micros) {
         self.calls.expire_waiting(now);
     }
 
-    /// Time has passed.
+    /// Handles all timeouts that are due.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if now < self.next_due() {
             return;
@@ -203,17 +204,17 @@
         }
         match &self.state {
             State::Backoff { .. } => self.dial(now, actions),
-            State::Dialing { .. } => self.give_up(now, DocumentsError::Unreachable, actions),
+            State::Dialing { .. } => self.disconnect(now, DocumentsError::Unreachable, actions),
             State::Watching { watch, .. } if watch.created && watch.check.is_none() => {
                 self.begin_check(now, actions);
             }
             State::Listing { .. } | State::Watching { .. } => {
-                self.give_up(now, DocumentsError::TimedOut, actions);
+                self.disconnect(now, DocumentsError::TimedOut, actions);
             }
         }
     }
 
-    /// A dial has succeeded.
+    /// Handles a successful dial: requests the first page of a list.
     pub fn dialed(&mut self, now: Micros, connection: u64, actions: &mut Vec<Action>) {
         if let Some(connection) = self.state.dialing(connection) {
             let list = Box::new(List::new(now, &self.settings));
@@ -222,17 +223,17 @@
         }
     }
 
-    /// A connection was lost, or a dial failed.
+    /// Handles a lost connection or a failed dial.
     pub fn lost(&mut self, now: Micros, connection: u64, actions: &mut Vec<Action>) {
         let error = match self.state.lost_phase(connection) {
             Some(LostPhase::Dialing) => DocumentsError::Unreachable,
             Some(LostPhase::Open) => DocumentsError::ConnectionLost,
             None => return,
         };
-        self.give_up(now, error, actions);
+        self.disconnect(now, error, actions);
     }
 
-    /// A message has arrived on a call. Any bytes are handled.
+    /// Handles a message of a call. Invalid bytes close the connection.
     pub fn message_received(&mut self, now: Micros, call: u64, bytes: &[u8], actions: &mut Vec<Action>) {
         let handled = if let Some(kind) = self.calls.kind(call) {
             self.reply_received(call, kind, bytes)
@@ -245,15 +246,15 @@
                 State::Watching { watch, .. } if watch.awaits_check(call) => {
                     self.count_received(now, call, bytes, actions)
                 }
-                _ => Ok(()), // Of a call that was given up.
+                _ => Ok(()), // The call was abandoned.
             }
         };
         if let Err(error) = handled {
-            self.give_up(now, error, actions);
+            self.disconnect(now, error, actions);
         }
     }
 
-    /// A call has ended.
+    /// Handles the end of a call.
     pub fn call_ended(&mut self, now: Micros, call: u64, status: Status, actions: &mut Vec<Action>) {
         if self.calls.kind(call).is_some() {
             let outcome = if is_rejected(&status) {
@@ -275,16 +276,16 @@
             }
             _ => return,
         };
-        self.give_up(now, error, actions);
+        self.disconnect(now, error, actions);
     }
 
-    fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// A request for all keys below the prefix.
-    fn range(&self) -> RangeRequest {
+    /// Returns a request for all keys with the prefix.
+    fn prefix_range(&self) -> RangeRequest {
         RangeRequest {
             key: self.settings.prefix.clone().into_bytes(),
             range_end: range_end(self.settings.prefix.as_bytes()),
@@ -292,30 +293,30 @@
         }
     }
 
-    /// Sends the calls that wait, if the registry is followed.
+    /// Sends the waiting calls if the watch is open.
     fn send_calls(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.is_watching() {
             return;
         }
-        let until = now.saturating_add(self.settings.answer_timeout);
+        let deadline = now.saturating_add(self.settings.answer_timeout);
         while self.calls.has_waiting() {
-            let call = self.next_number();
-            let rpc = self.calls.send_next(call, until, &self.settings.prefix);
+            let call = self.next_id();
+            let rpc = self.calls.send_next(call, deadline, &self.settings.prefix);
             actions.extend(rpc.map(|rpc| Action::Call { call, rpc }));
         }
     }
 
-    /// The answer to one of the owner's calls has arrived.
+    /// Handles the response to a transaction or lease call.
     fn reply_received(&mut self, call: u64, kind: CallKind, bytes: &[u8]) -> Result<(), DocumentsError> {
         let (header, reply) = decode_reply(kind, bytes)?;
-        // An answer of another cluster, or of none, says nothing about ours: the call stays without one.
+        // A response from another cluster, or without a cluster, says nothing about the call, whose result stays unknown.
         let header = self.checked_header(header)?;
         self.position.advance(header.revision);
         self.calls.finish(call, reply);
         Ok(())
     }
 
-    /// The header of an answer, if it has a revision and is of the cluster that is followed.
+    /// Returns the header of a response if it has a revision and is from the cluster of the mirror.
     fn checked_header(&self, header: Option<ResponseHeader>) -> Result<ResponseHeader, DocumentsError> {
         let header = header.filter(|header| header.revision > 0).ok_or(MessageError::MissingRevision)?;
         match self.position.other_cluster(header.cluster_id) {
@@ -330,13 +331,14 @@
             return;
         };
         self.counters.dials += 1;
-        let connection = Connection { id: self.next_number(), endpoint };
+        let connection = Connection { id: self.next_id(), endpoint };
         self.state = State::Dialing { connection, until: now.saturating_add(self.settings.dial_timeout) };
         actions.push(Action::Dial { connection: connection.id, endpoint });
     }
 
-    /// Closes the connection and rests before the next dial. Calls that were sent on it may have happened.
-    fn give_up(&mut self, now: Micros, error: DocumentsError, actions: &mut Vec<Action>) {
+    /// Closes the connection and pauses before the next dial. The results of the calls sent on the connection become
+    /// unknown.
+    fn disconnect(&mut self, now: Micros, error: DocumentsError, actions: &mut Vec<Action>) {
         let Some(Connection { id, endpoint }) = self.state.connection() else { return };
         actions.push(Action::Disconnect { connection: id });
         self.counters.lost += 1;
@@ -347,8 +349,8 @@
             DocumentsError::TooManyDocuments { .. } => pauses.longest,
             _ => self.rotation.backoff(pauses.spread, pauses, &mut self.rng),
         };
-        // Only a successful check counts as success, so a registry that accepts connections and drops them is not
-        // flooded.
+        // Only a successful check counts as success, so a registry that accepts connections and then drops them is not
+        // flooded with dials.
         self.rotation.record_failure();
         actions.push(Action::Notify(Notice::Disconnected { endpoint, error }));
         self.state = State::Backoff { until: now.saturating_add(pause) };
--- a/src/registry/documents/outputs.rs
+++ b/src/registry/documents/outputs.rs
@@ -1,4 +1,4 @@
-//! What the documents put out: actions for their driver, and notices for the operators.
+//! Outputs of the documents: actions for the driver, and notices for operators.
 
 use super::DocumentsError;
 use crate::registry::messages::{
@@ -7,73 +7,73 @@
 use crate::registry::status::Status;
 use crate::routing::events::Micros;
 
-/// How far the connection to the registry is.
+/// Phase of the connection to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowPhase {
-    /// There is none until the next dial.
+    /// There is no connection; the next dial is pending.
     Disconnected,
     /// An endpoint is being dialed.
     Dialing,
-    /// A list is being read, or the watch that follows it has not begun.
+    /// A list is being read, or its watch is not created yet.
     Listing,
-    /// The documents are followed, and no check is under way.
+    /// The watch is open, and no check is in flight.
     Watching,
-    /// They are followed, and a check has no answer yet.
+    /// The watch is open, and a check is in flight.
     Checking {
-        /// When it was sent.
+        /// When the check was sent.
         sent: Micros,
     },
 }
 
-/// A request to the registry.
+/// A remote procedure call to the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rpc {
     /// Reads keys.
     Range(RangeRequest),
-    /// Watches; the call stays open.
+    /// Watches keys; the call stays open.
     Watch(WatchRequest),
-    /// Compares and writes.
+    /// Executes a transaction.
     Transaction(TxnRequest),
     /// Grants a lease.
     Grant(LeaseGrantRequest),
-    /// Keeps a lease alive; one call for each keep-alive.
+    /// Keeps a lease alive; each keep-alive is a call of its own.
     KeepAlive(LeaseKeepAliveRequest),
     /// Revokes a lease.
     Revoke(LeaseRevokeRequest),
 }
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to an endpoint.
+    /// Dial an endpoint.
     Dial {
-        /// Identifies the connection from now on.
+        /// Id of the new connection.
         connection: u64,
-        /// The endpoint's index in the settings.
+        /// Index of the endpoint.
         endpoint: usize,
     },
     /// Close a connection.
     Disconnect {
-        /// The connection.
+        /// Id of the connection.
         connection: u64,
     },
-    /// Begin a call on the connection.
+    /// Start a call on the connection.
     Call {
-        /// The number of the call.
+        /// Id of the call.
         call: u64,
-        /// The request.
+        /// Request to send.
         rpc: Rpc,
     },
-    /// Send a further request on the call of the watch.
+    /// Send another request on the call of the watch.
     Send {
-        /// The number of the call.
+        /// Id of the call.
         call: u64,
-        /// The request.
+        /// Request to send.
         request: WatchRequest,
     },
     /// Cancel a call.
     Cancel {
-        /// The number of the call.
+        /// Id of the call.
         call: u64,
     },
     /// Write a notice to the log.
@@ -83,39 +83,39 @@
 /// A notice for the operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A list was taken.
+    /// A complete list has replaced the mirror.
     ListTaken {
-        /// Its revision.
+        /// Revision of the list.
         revision: i64,
-        /// Keys in it.
+        /// Number of keys in the list.
         keys: usize,
-        /// How long it took.
+        /// Time from the first request to the last page, in microseconds.
         took: Micros,
     },
-    /// A connection was lost or given up.
+    /// A connection was lost or closed because of an error.
     Disconnected {
-        /// The endpoint.
+        /// Index of the endpoint.
         endpoint: usize,
-        /// Why, and what can be done.
+        /// Reason for the loss.
         error: DocumentsError,
     },
-    /// The registry rejected a call; nothing has happened.
+    /// The registry rejected a call without executing it.
     Rejected(Status),
 }
 
 /// Counters for the log and for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Connections begun.
+    /// Number of dials.
     pub dials: u64,
-    /// Connections lost or given up.
+    /// Number of connections lost or closed because of an error, failed dials included.
     pub lost: u64,
-    /// Lists taken.
+    /// Number of complete lists.
     pub lists: u64,
-    /// Changes applied from watches.
+    /// Number of changes applied from watches.
     pub changes: u64,
-    /// Calls sent.
+    /// Number of transactions and lease calls sent.
     pub calls: u64,
-    /// Calls whose answer never came.
+    /// Number of calls with an unknown result.
     pub unknown: u64,
 }
--- a/src/registry/documents/settings.rs
+++ b/src/registry/documents/settings.rs
@@ -1,41 +1,43 @@
-//! How documents are followed.
+//! Settings for following documents.
 
 use crate::routing::events::Micros;
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// How documents are followed. Times in microseconds.
+/// Settings for following documents. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many endpoints there are.
+    /// Number of registry endpoints.
     pub endpoints: usize,
-    /// Keys below it are documents.
+    /// Prefix of the keys that are documents.
     pub prefix: String,
-    /// Most documents that are kept.
+    /// Maximum number of mirrored documents.
     pub max_keys: usize,
-    /// Most bytes of keys and values that are kept; while a list is read there may be twice as many.
+    /// Maximum total size of the mirrored documents, in bytes. Memory use may be twice as high while a list is read.
     pub max_bytes: usize,
-    /// Keys in one page of a list.
+    /// Number of keys in a page of a list.
     pub page_size: i64,
-    /// A dial takes no longer.
+    /// Maximum time for a dial.
     pub dial_timeout: Micros,
-    /// An answer to a page or a call takes no longer. A call waits no longer for being sent.
+    /// Maximum time for the response to a page request or a call. Also the maximum time that a call waits to be sent.
     pub answer_timeout: Micros,
-    /// Between two checks that the mirror is current.
+    /// Time between two checks that the mirror is current.
     pub check_interval: Micros,
-    /// A check takes no longer.
+    /// Maximum time for a check.
     pub check_timeout: Micros,
-    /// First retries of all instances after a loss are spread over this.
+    /// Range of the random delay before the first retry after a lost connection, so that not all instances reconnect at
+    /// once.
     pub retry_spread: Micros,
-    /// Longest pause between dials.
+    /// Maximum pause between dials.
     pub max_retry_pause: Micros,
-    /// Most calls of the owner that wait: for being sent, for their answer, or for the owner to take that.
+    /// Maximum number of the owner's pending calls: calls that are not sent yet, not answered yet, or whose reply the
+    /// owner has not taken yet.
     pub max_calls: usize,
 }
 
 impl Settings {
-    /// The usual settings.
+    /// Returns the default settings.
     pub fn new(endpoints: usize, prefix: &str) -> Self {
         Settings {
             endpoints,
@@ -53,16 +55,17 @@
         }
     }
 
-    /// Settings for followers that must notice soon that they hear nothing, and recover soon: a check each `check`,
-    /// another endpoint after `silence`, and short pauses between dials.
-    pub fn fast_detection(endpoints: usize, prefix: &str, check: Micros, silence: Micros) -> Self {
+    /// Returns settings for followers that must detect a lost connection and recover fast: a check every
+    /// `check_interval`, a change of the endpoint after `timeout`, and short pauses between dials.
+    pub fn fast_detection(endpoints: usize, prefix: &str, check_interval: Micros, timeout: Micros) -> Self {
         Settings {
-            // A page is a linearizable read, which between regions takes tenths of a second: best one for all.
+            // A page is a linearizable read, which takes tenths of a second between regions, so one page should hold
+            // all keys.
             page_size: 1_024,
-            dial_timeout: silence,
-            answer_timeout: silence,
-            check_interval: check,
-            check_timeout: silence,
+            dial_timeout: timeout,
+            answer_timeout: timeout,
+            check_interval,
+            check_timeout: timeout,
             retry_spread: 100 * MILLISECOND,
             max_retry_pause: 2 * SECOND,
             ..Settings::new(endpoints, prefix)
--- a/src/registry/documents/tests.rs
+++ b/src/registry/documents/tests.rs
@@ -1,30 +1,31 @@
-//! What is refused before it is sent, and bytes that make no sense. The rest is in `tests/registry_documents.rs`.
+//! Tests of the validation of transactions and of invalid messages. Further tests are in `tests/registry_documents.rs`.
 
 use super::*;
 use crate::registry::messages::{KeyValue, RangeResponse, WatchResponse};
 use proptest::prelude::*;
 use prost::Message;
 
-fn documents() -> Documents {
+fn new_documents() -> Documents {
     Documents::new(Settings::new(3, "/d/"), 7, 0)
 }
 
 #[test]
-fn what_the_registry_would_not_take_is_refused_with_its_reason() {
-    let (mut d, mut actions) = (documents(), Vec::new());
-    let mut submit =
-        |id, transaction| d.submit(0, Caller::Owner(id), Request::Transaction(transaction, 0), &mut actions);
+fn invalid_transactions_are_rejected_with_the_reason() {
+    let (mut documents, mut actions) = (new_documents(), Vec::new());
+    let mut submit = |id, transaction| {
+        documents.submit(0, Caller::Owner(id), Request::Transaction(transaction, 0), &mut actions)
+    };
     let put = |key: &str, bytes: usize| (key.to_owned(), vec![0; bytes]);
     let puts = |puts| Transaction { puts, ..Transaction::default() };
-    let refused = [
-        (puts(vec![put("a", 1), put("a", 2)]), "key 'a' twice"),
+    let rejected = [
+        (puts(vec![put("a", 1), put("a", 2)]), "key 'a' more than once"),
         (puts(vec![put("", 1)]), "is empty"),
-        (puts(vec![put("a", 2_000_000)]), "of 2000065 bytes"),
-        (puts((0..129).map(|n| put(&n.to_string(), 0)).collect()), "of 129 compares or writes"),
+        (puts(vec![put("a", 2_000_000)]), "has 2000065 bytes"),
+        (puts((0..129).map(|n| put(&n.to_string(), 0)).collect()), "has 129 compares or writes"),
     ];
-    for (transaction, why) in refused {
-        let said = submit(1, transaction).unwrap_err().to_string();
-        assert!(said.contains(why), "{said}");
+    for (transaction, reason) in rejected {
+        let message = submit(1, transaction).unwrap_err().to_string();
+        assert!(message.contains(reason), "{message}");
     }
     assert_eq!(submit(1, puts(vec![put("a", 1)])), Ok(()));
     assert_eq!(submit(1, puts(vec![put("a", 1)])), Err(DocumentsError::DuplicateId { id: 1 }));
@@ -35,12 +36,13 @@
 }
 
 proptest! {
-    /// Any bytes on any call, and a key that was not asked for, end the connection at most, and leave the mirror as it was.
+    /// Arbitrary bytes of the watch, and an event for a key outside the prefix, at most close the connection and never
+    /// change the mirror.
     #[test]
-    fn noise_changes_nothing(noise in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..20) {
-        let (mut d, mut actions) = (documents(), Vec::new());
-        d.tick(0, &mut actions);
-        d.dialed(0, 1, &mut actions);
+    fn invalid_watch_messages_leave_the_mirror_unchanged(noise in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..20) {
+        let (mut documents, mut actions) = (new_documents(), Vec::new());
+        documents.tick(0, &mut actions);
+        documents.dialed(0, 1, &mut actions);
         let kv = |key: &str, at| KeyValue {
             key: key.into(),
             value: vec![9; 20],
@@ -50,20 +52,20 @@
         };
         let header = Some(ResponseHeader { cluster_id: 7, revision: 9, ..ResponseHeader::default() });
         let page = RangeResponse { header, kvs: vec![kv("/d/a", 3)], more: false, count: 1 };
-        d.message_received(0, 2, &page.encode_to_vec(), &mut actions);
-        let listed = d.mirror.documents.clone();
+        documents.message_received(0, 2, &page.encode_to_vec(), &mut actions);
+        let listed = documents.mirror.documents.clone();
         prop_assert_eq!(listed.len(), 1);
-        let said = WatchResponse {
+        let response = WatchResponse {
             header: header.map(|h| ResponseHeader { revision: 10, ..h }),
             events: vec![Event { kind: 0, kv: Some(kv("/e/a", 10)), prev_kv: None }],
             ..WatchResponse::default()
         };
-        let mut bytes = said.encode_to_vec();
+        let mut bytes = response.encode_to_vec();
         if cut > 0 {
             bytes.truncate(cut);
             bytes.extend(&noise);
         }
-        d.message_received(0, 3, &bytes, &mut actions);
-        prop_assert_eq!(listed, d.mirror.documents);
+        documents.message_received(0, 3, &bytes, &mut actions);
+        prop_assert_eq!(listed, documents.mirror.documents);
     }
 }
--- a/src/registry/documents/transaction.rs
+++ b/src/registry/documents/transaction.rs
@@ -1,41 +1,41 @@
-//! Transactions on documents: what is compared and written, whether the registry would take it, and its encoding.
+//! Transactions on documents: conditions and writes, validation against the registry's limits, and encoding.
 
 use super::DocumentsError;
 use crate::registry::messages::{request_op, Compare, DeleteRangeRequest, PutRequest, RequestOp, TxnRequest};
 use std::collections::BTreeSet;
 
-/// Operations of one kind that the registry takes in one transaction.
+/// Maximum number of operations of one kind that the registry accepts in a transaction.
 const MAX_OPERATIONS: usize = 128;
-/// Bytes that the registry takes in one transaction, less some room for its frame.
+/// Maximum size of a transaction, in bytes: the registry's limit, less a reserve for framing.
 const MAX_TRANSACTION_BYTES: usize = 1_400_000;
-/// Bytes that an operation takes beyond its key and value.
+/// Estimated size of an operation beyond its key and value, in bytes.
 const OPERATION_OVERHEAD_BYTES: usize = 64;
-/// What a compare looks at, as the interface numbers it.
+/// Compare targets, as numbered in the registry's API.
 const TARGET_CREATE_REVISION: i32 = 1;
 const TARGET_MOD_REVISION: i32 = 2;
 
-/// What is required of a key for a transaction to change anything.
+/// A condition on a key that must hold for a transaction to be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
-    /// The revision of its last change; 0: it is not there.
+    /// The last change of the key was at this revision; 0: the key does not exist.
     ModRevision(i64),
-    /// The revision at which it was created; 0: it is not there.
+    /// The key was created at this revision; 0: the key does not exist.
     CreateRevision(i64),
 }
 
-/// Changes that happen all, as one revision, or not at all. Keys are below the prefix.
+/// Changes that are applied atomically, as one revision, if all conditions hold. Keys are without the prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions by key.
     pub compares: Vec<(String, Condition)>,
-    /// What is written then.
+    /// Keys to write, with their new values.
     pub puts: Vec<(String, Vec<u8>)>,
-    /// What is deleted then.
+    /// Keys to delete.
     pub deletes: Vec<String>,
 }
 
 impl Transaction {
-    /// Checks that the registry would take it.
+    /// Checks that the registry would accept the transaction.
     pub(super) fn validate(&self) -> Result<(), DocumentsError> {
         let operations = self.compares.len().max(self.puts.len() + self.deletes.len());
         if operations > MAX_OPERATIONS {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// The keys that it writes or deletes.
+    /// Returns the keys that the transaction writes or deletes.
     pub(super) fn written_keys(&self) -> impl Iterator<Item = &String> + Clone {
         self.puts.iter().map(|(key, _)| key).chain(&self.deletes)
     }
 
-    /// The request; what it writes is attached to the lease, unless that is 0.
+    /// Encodes the transaction as a request. The written keys are attached to the lease, unless `lease` is 0.
     pub(super) fn into_request(self, prefix: &str, lease: i64) -> TxnRequest {
         let key = |key: &str| [prefix.as_bytes(), key.as_bytes()].concat();
         let puts = self
--- a/src/registry/documents/watching.rs
+++ b/src/registry/documents/watching.rs
@@ -1,4 +1,4 @@
-//! Following the changes after a list, and checking that none was missed.
+//! Watches the changes after a list, and checks regularly that no change was missed.
 
 use super::mirror::{decode_document, Change};
 use super::{Action, Documents, DocumentsError, Rpc, State};
@@ -13,19 +13,19 @@
 use crate::routing::events::Micros;
 use prost::Message;
 
-/// The number of the only watch on its stream.
+/// Id of the watch, the only one on its stream.
 const WATCH_ID: i64 = 1;
-/// The type of an event that deletes its key.
+/// Event type of a deletion.
 const EVENT_DELETE: i32 = 1;
 
-/// The call of the watch, and what the documents keep with it.
+/// The call of the watch, with the state that only documents need.
 #[derive(Clone, Debug)]
 pub(super) struct WatchCall {
     pub(super) call: u64,
-    /// Bytes of the fragments that wait for the last one.
+    /// Total size of the fragments of the current message, in bytes.
     fragment_bytes: usize,
-    /// The revision that was accepted when the check was sent. The answer may be overtaken by that to a later
-    /// transaction, so it is compared with this.
+    /// Latest accepted revision when the check was sent. The response to a later transaction may arrive before the
+    /// response to the check, so the latter is compared with this revision.
     accepted_at_check: i64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Documents {
-    /// The request for a watch of all keys below the prefix from a revision on.
+    /// Returns the request for a watch of all keys with the prefix, starting at a revision.
     pub(super) fn watch_request(&self, start_revision: i64) -> WatchRequest {
         let create = WatchCreateRequest {
             key: self.settings.prefix.clone().into_bytes(),
@@ -49,7 +49,7 @@
         WatchRequest { request: Some(watch_request::Request::Create(create)) }
     }
 
-    /// A message has arrived on the watch.
+    /// Handles a message of the watch.
     pub(super) fn watch_message_received(
         &mut self,
         now: Micros,
@@ -65,7 +65,7 @@
         if message.created && !watch.created {
             (watch.created, watch.next_check) = (true, now);
         }
-        let tells_progress =
+        let reports_progress =
             message.events.is_empty() && !message.created && !message.fragment && watch.fragments.is_empty();
         watch.details.fragment_bytes = watch.details.fragment_bytes.saturating_add(bytes.len());
         watch.fragments.extend(message.events);
@@ -77,7 +77,7 @@
         let events = std::mem::take(&mut watch.fragments);
         self.apply_events(events, header.revision)?;
         let State::Watching { watch, .. } = &mut self.state else { return Ok(()) };
-        if tells_progress && watch.created {
+        if reports_progress && watch.created {
             watch.revision = watch.revision.max(header.revision);
         }
         self.mirror.revision = watch.revision;
@@ -87,10 +87,11 @@
         Ok(())
     }
 
-    /// Applies the events of a message, revision by revision.
+    /// Applies the events of a message, one revision at a time.
     fn apply_events(&mut self, events: Vec<Event>, header_revision: i64) -> Result<(), DocumentsError> {
         let mut changes = self.new_changes(events, header_revision)?.into_iter().peekable();
-        // The mirror may stop between two revisions, never within one: it would show what never was.
+        // An error may stop the mirror between two revisions, but never within one: the mirror would show a state that
+        // never existed.
         while let Some(&(revision, _)) = changes.peek() {
             let mut same_revision = Vec::new();
             while let Some((_, change)) = changes.next_if(|(other, _)| *other == revision) {
@@ -105,7 +106,7 @@
         Ok(())
     }
 
-    /// The changes that were not applied yet, by revision and key, each once.
+    /// Returns the changes that have not been applied yet, ordered by revision and key, without duplicates.
     fn new_changes(
         &self,
         events: Vec<Event>,
@@ -130,10 +131,10 @@
         Ok(changes)
     }
 
-    /// Asks for the number of keys and for the watch's progress.
+    /// Starts a check: requests the number of keys and the progress of the watch.
     pub(super) fn begin_check(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let call = self.next_number();
-        let range = RangeRequest { count_only: true, ..self.range() };
+        let call = self.next_id();
+        let range = RangeRequest { count_only: true, ..self.prefix_range() };
         let State::Watching { watch, .. } = &mut self.state else { return };
         watch.details.accepted_at_check = self.position.revision;
         watch.begin_check(call, now);
@@ -141,7 +142,7 @@
         actions.push(Action::Send { call: watch.details.call, request: progress_request() });
     }
 
-    /// The answer to a count has arrived.
+    /// Handles the response to the count of keys.
     pub(super) fn count_received(
         &mut self,
         now: Micros,
@@ -149,25 +150,25 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) -> Result<(), DocumentsError> {
-        let answer = RangeResponse::decode(bytes).map_err(MessageError::from)?;
-        let revision = self.checked_header(answer.header)?.revision;
+        let response = RangeResponse::decode(bytes).map_err(MessageError::from)?;
+        let revision = self.checked_header(response.header)?.revision;
         let State::Watching { watch, .. } = &mut self.state else { return Ok(()) };
         let accepted = watch.details.accepted_at_check;
         if revision < accepted {
             return Err(DocumentsError::MemberBehind { revision, accepted });
         }
         if let Some(check) = watch.check_of_call(call) {
-            check.answer = Some(KeyCount { revision, keys: answer.count });
+            check.answer = Some(KeyCount { revision, keys: response.count });
         }
         if revision > watch.revision {
-            // The progress may have been reported before this revision was there.
+            // The progress may have been reported before this revision was committed, so it is requested again.
             actions.push(Action::Send { call: watch.details.call, request: progress_request() });
         }
         self.position.advance(revision);
         self.conclude_check(now)
     }
 
-    /// Ends the check once the watch has come as far as the registry was when it counted.
+    /// Ends the check once the watch has reached the revision of the count.
     fn conclude_check(&mut self, now: Micros) -> Result<(), DocumentsError> {
         let keys = self.mirror.documents.len() as i64;
         let State::Watching { watch, .. } = &mut self.state else { return Ok(()) };
@@ -184,7 +185,7 @@
     }
 }
 
-/// Why the registry has cancelled the watch.
+/// Returns the error for a watch that the registry has cancelled.
 fn cancellation(message: WatchResponse) -> DocumentsError {
     if message.compact_revision != 0 {
         return DocumentsError::Compacted;
