--- a/tests/registry_documents.rs
+++ b/tests/registry_documents.rs
@@ -1,5 +1,5 @@
-//! Documents and the planner's lease: the core against a registry in virtual time where everything goes wrong by a
-//! seed, and the real driver against the stand-in on loopback. Judged by what the registry committed.
+//! Tests of documents and the planner's lease: the state machine with a simulated registry and seeded random faults in
+//! virtual time, and the driver with a test registry on loopback. Results are compared with what the registry committed.
 #![cfg(unix)]
 
 use larchdale::net::event_loop::EventLoop;
@@ -27,63 +27,75 @@
 const S: Micros = 1_000_000;
 const MEMBERS: usize = 3;
 
+/// Values and revisions of the documents, by key.
 type State = BTreeMap<String, (Vec<u8>, i64)>;
 
 fn put(key: &str, value: &str) -> Transaction {
     Transaction { puts: vec![(key.to_owned(), value.into())], ..Transaction::default() }
 }
 
-enum Up {
+/// A message to the registry.
+enum ClientMessage {
     Call(u64, Rpc),
-    /// On the watch: how far is it?
+    /// A progress request on the watch.
     Progress,
 }
 
-enum Down {
+/// A message from the registry.
+enum RegistryMessage {
     Message(u64, Vec<u8>),
     Ended(u64, Status),
 }
 
+/// A connection to a member of the registry.
 struct Link {
-    name: u64,
+    id: u64,
     member: usize,
-    opens: Option<Micros>,
+    /// When the dial succeeds; `None` once the connection is open.
+    opens_at: Option<Micros>,
     stalled: bool,
-    up: VecDeque<(Micros, Up)>,
-    down: VecDeque<(Micros, Down)>,
+    /// Messages in flight to the registry, with their arrival times.
+    requests: VecDeque<(Micros, ClientMessage)>,
+    /// Messages in flight from the registry, with their arrival times.
+    responses: VecDeque<(Micros, RegistryMessage)>,
+    /// Id of the watch's call, and the next revision to report.
     watch: Option<(u64, i64)>,
 }
 
-/// A registry and one that follows it.
-struct Sim {
+/// Simulation of a registry and the documents that follow it.
+struct Simulation {
     now: Micros,
     rng: Pcg32,
     store: Store,
-    /// What was below the prefix at each revision.
-    past: BTreeMap<i64, State>,
+    /// Documents at each revision.
+    history: BTreeMap<i64, State>,
+    /// Revision at which each lagging member stopped.
     lag: [Option<i64>; MEMBERS],
     documents: Documents,
     link: Option<Link>,
     actions: Vec<Action>,
     submitted: u64,
     answers: BTreeMap<u64, Outcome>,
-    /// By call, whose transaction it is; and those whose answer was handed over.
+    /// Ids of the transactions by call.
     calls: BTreeMap<u64, u64>,
-    handed: Vec<u64>,
-    shown: i64,
-    full: u64,
-    /// The last answer on the watch, which may come again late.
-    last: Option<WatchResponse>,
+    /// Ids of the transactions whose response was delivered.
+    delivered: Vec<u64>,
+    /// Revision of the mirror at the last step.
+    last_revision: i64,
+    /// Number of disconnects because of too many documents.
+    limit_errors: u64,
+    /// Last message of the watch, which may be repeated late.
+    last_message: Option<WatchResponse>,
 }
 
-impl Sim {
+impl Simulation {
     fn new(seed: u64, max_keys: usize) -> Self {
         let settings = Settings { max_keys, page_size: 3, ..Settings::new(MEMBERS, PREFIX) };
-        let mut sim = Sim {
+        let mut sim = Simulation {
             now: S,
             rng: Pcg32::seed_from_u64(seed),
             store: Store::new(7),
-            past: BTreeMap::new(),
+            history: BTreeMap::new(),
             lag: [None; MEMBERS],
             documents: Documents::new(settings, seed, S),
             link: None,
@@ -91,45 +103,46 @@
             submitted: 0,
             answers: BTreeMap::new(),
             calls: BTreeMap::new(),
-            handed: Vec::new(),
-            shown: 0,
-            full: 0,
-            last: None,
+            delivered: Vec::new(),
+            last_revision: 0,
+            limit_errors: 0,
+            last_message: None,
         };
-        sim.remember();
+        sim.record_state();
         sim
     }
 
-    /// Keeps what the store is now.
-    fn remember(&mut self) {
-        let all = RangeRequest {
+    /// Records the current documents of the store.
+    fn record_state(&mut self) {
+        let range = RangeRequest {
             key: PREFIX.into(),
             range_end: range_end(PREFIX.as_bytes()),
             ..RangeRequest::default()
         };
-        let kvs = self.store.range(&all, 1, self.store.revision).unwrap().kvs;
+        let kvs = self.store.range(&range, 1, self.store.revision).unwrap().kvs;
         let key = |key: Vec<u8>| String::from_utf8(key).unwrap()[PREFIX.len()..].to_owned();
         let state = kvs.into_iter().map(|kv| (key(kv.key), (kv.value, kv.mod_revision))).collect();
-        self.past.insert(self.store.revision, state);
+        self.history.insert(self.store.revision, state);
     }
 
     fn chance(&mut self, one_in: u32) -> bool {
         self.rng.random_ratio(1, one_in)
     }
 
-    fn later(&mut self) -> Micros {
+    /// Returns a random arrival time for a message that is sent now.
+    fn arrival_time(&mut self) -> Micros {
         self.now + self.rng.random_range(0..40) * MS
     }
 
-    /// Something in the registry changes without our doing.
-    fn change(&mut self) {
+    /// Another client changes documents.
+    fn change_documents(&mut self) {
         let key = format!("{PREFIX}k{}", self.rng.random_range(0..8));
         if self.chance(4) {
             self.store.delete(key.as_bytes());
         } else if self.chance(2) {
             self.store.put(key.as_bytes(), b"theirs", 0);
         } else {
-            // All as one revision, which must be seen whole.
+            // All changes have the same revision, so the mirror must show all or none of them.
             let put = |n| {
                 let put = PutRequest { key: format!("{PREFIX}k{n}").into(), value: b"all".into(), lease: 0 };
                 RequestOp { request: Some(request_op::Request::Put(put)) }
@@ -137,9 +150,10 @@
             let txn = TxnRequest { success: (0..8).map(put).collect(), ..TxnRequest::default() };
             assert_eq!(self.store.txn(&txn), Ok(true));
         }
-        self.remember();
+        self.record_state();
     }
 
+    /// Submits a write of a random document, on condition that the document is unchanged since the mirrored revision.
     fn submit(&mut self) {
         self.submitted += 1;
         let id = self.submitted;
@@ -153,22 +167,23 @@
         }
     }
 
-    fn cut(&mut self) {
+    fn lose_connection(&mut self) {
         if let Some(link) = self.link.take() {
-            self.documents.lost(self.now, link.name, &mut self.actions);
+            self.documents.lost(self.now, link.id, &mut self.actions);
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
-            let at = self.later();
+            let at = self.arrival_time();
             match action {
-                Action::Dial { connection: link, endpoint } => {
-                    let (up, down) = (VecDeque::new(), VecDeque::new());
-                    let (name, member, opens) = (link, endpoint, Some(at));
-                    self.link = Some(Link { name, member, opens, stalled: false, up, down, watch: None });
+                Action::Dial { connection, endpoint } => {
+                    let (requests, responses) = (VecDeque::new(), VecDeque::new());
+                    let (id, member, opens_at) = (connection, endpoint, Some(at));
+                    self.link =
+                        Some(Link { id, member, opens_at, stalled: false, requests, responses, watch: None });
                 }
-                Action::Disconnect { connection: link } => drop(self.link.take_if(|l| l.name == link)),
+                Action::Disconnect { connection } => drop(self.link.take_if(|link| link.id == connection)),
                 Action::Call { call, rpc } => {
                     if let Rpc::Transaction(txn) = &rpc {
                         let Some(request_op::Request::Put(p)) = &txn.success[0].request else {
@@ -177,139 +192,158 @@
                         let id = std::str::from_utf8(&p.value[1..]).unwrap().parse().unwrap();
                         self.calls.insert(call, id);
                     }
-                    self.link.iter_mut().for_each(|l| l.up.push_back((at, Up::Call(call, rpc.clone()))));
+                    self.link.iter_mut().for_each(|link| {
+                        link.requests.push_back((at, ClientMessage::Call(call, rpc.clone())))
+                    });
                 }
                 Action::Send { .. } => {
-                    self.link.iter_mut().for_each(|l| l.up.push_back((at, Up::Progress)));
+                    self.link
+                        .iter_mut()
+                        .for_each(|link| link.requests.push_back((at, ClientMessage::Progress)));
                 }
                 Action::Cancel { .. } => {}
                 Action::Notify(Notice::Disconnected {
                     error: DocumentsError::TooManyDocuments { .. },
                     ..
-                }) => self.full += 1,
+                }) => self.limit_errors += 1,
                 Action::Notify(_) => {}
             }
         }
     }
 
-    /// The member at the other end takes what has arrived, and tells the watch.
-    fn serve(&mut self) {
+    /// The connected member handles the requests that have arrived and sends changes on the watch.
+    fn serve_member(&mut self) {
         let Some(mut link) = self.link.take() else { return };
-        let applied = self.lag[link.member].unwrap_or(self.store.revision).min(self.store.revision);
+        let revision = self.lag[link.member].unwrap_or(self.store.revision).min(self.store.revision);
         let member = link.member as u64 + 1;
-        let header = self.store.header(member, applied);
-        let mut down = Vec::new();
-        while link.up.front().is_some_and(|u| u.0 <= self.now) {
-            match link.up.pop_front().unwrap().1 {
-                Up::Call(call, Rpc::Range(r)) => match self.store.range(&r, member, applied) {
+        let header = self.store.header(member, revision);
+        let mut responses = Vec::new();
+        while link.requests.front().is_some_and(|request| request.0 <= self.now) {
+            match link.requests.pop_front().unwrap().1 {
+                ClientMessage::Call(call, Rpc::Range(r)) => match self.store.range(&r, member, revision) {
                     Ok(answer) => {
-                        down.push(Down::Message(call, answer.encode_to_vec()));
-                        down.push(Down::Ended(call, Status::new(0, "")));
+                        responses.push(RegistryMessage::Message(call, answer.encode_to_vec()));
+                        responses.push(RegistryMessage::Ended(call, Status::new(0, "")));
+                    }
+                    Err((code, text)) => {
+                        responses.push(RegistryMessage::Ended(call, Status::new(code, text)))
                     }
-                    Err((code, text)) => down.push(Down::Ended(call, Status::new(code, text))),
                 },
-                Up::Call(call, Rpc::Transaction(txn)) => {
+                ClientMessage::Call(call, Rpc::Transaction(txn)) => {
                     let succeeded = self.store.txn(&txn).unwrap();
-                    self.remember();
+                    self.record_state();
                     let header = self.store.header(member, self.store.revision);
-                    down.push(Down::Message(call, TxnResponse { header, succeeded }.encode_to_vec()));
+                    responses.push(RegistryMessage::Message(
+                        call,
+                        TxnResponse { header, succeeded }.encode_to_vec(),
+                    ));
                 }
-                Up::Call(call, Rpc::Watch(r)) => {
+                ClientMessage::Call(call, Rpc::Watch(r)) => {
                     let Some(watch_request::Request::Create(c)) = r.request else { panic!("{r:?}") };
-                    (link.watch, self.last) = (Some((call, c.start_revision)), None);
-                    let made = WatchResponse { header, watch_id: 1, created: true, ..Default::default() };
-                    down.push(Down::Message(call, made.encode_to_vec()));
+                    (link.watch, self.last_message) = (Some((call, c.start_revision)), None);
+                    let created = WatchResponse { header, watch_id: 1, created: true, ..Default::default() };
+                    responses.push(RegistryMessage::Message(call, created.encode_to_vec()));
                 }
-                Up::Call(_, rpc) => panic!("{rpc:?}"),
-                Up::Progress => {
+                ClientMessage::Call(_, rpc) => panic!("{rpc:?}"),
+                ClientMessage::Progress => {
                     let Some((call, _)) = link.watch else { continue };
-                    down.extend(self.tell(&mut link, applied));
-                    let far = WatchResponse { header, watch_id: -1, ..Default::default() };
-                    down.push(Down::Message(call, far.encode_to_vec()));
+                    responses.extend(self.watch_messages(&mut link, revision));
+                    let progress = WatchResponse { header, watch_id: -1, ..Default::default() };
+                    responses.push(RegistryMessage::Message(call, progress.encode_to_vec()));
                 }
             }
         }
-        down.extend(self.tell(&mut link, applied));
-        for message in down {
-            let at = self.later().max(link.down.back().map_or(0, |d| d.0));
-            link.down.push_back((at, message));
+        responses.extend(self.watch_messages(&mut link, revision));
+        for response in responses {
+            let at = self.arrival_time().max(link.responses.back().map_or(0, |last| last.0));
+            link.responses.push_back((at, response));
         }
         self.link = Some(link);
     }
 
-    /// Changes on the watch: now and then in fragments, or twice.
-    fn tell(&mut self, link: &mut Link, applied: i64) -> Vec<Down> {
+    /// Returns the pending changes as messages of the watch, sometimes in fragments or repeated.
+    fn watch_messages(&mut self, link: &mut Link, revision: i64) -> Vec<RegistryMessage> {
         let Some((call, next)) = link.watch else { return Vec::new() };
-        let header = self.store.header(1, applied);
+        let header = self.store.header(1, revision);
         let base = WatchResponse { header, watch_id: 1, ..Default::default() };
-        let mut told = Vec::new();
-        match self.store.changes(PREFIX.as_bytes(), next, applied) {
+        let mut messages = Vec::new();
+        match self.store.changes(PREFIX.as_bytes(), next, revision) {
             Err(compact_revision) => {
                 link.watch = None;
-                told.push(WatchResponse { canceled: true, compact_revision, ..base });
+                messages.push(WatchResponse { canceled: true, compact_revision, ..base });
             }
             Ok(events) => {
-                link.watch = Some((call, next.max(applied + 1)));
+                link.watch = Some((call, next.max(revision + 1)));
                 let size = if self.chance(3) { 1 } else { 100 };
                 let parts = events.chunks(size).count();
                 for (n, part) in events.chunks(size).enumerate() {
                     let answer =
                         WatchResponse { events: part.to_vec(), fragment: n + 1 < parts, ..base.clone() };
-                    told.extend(vec![answer; 1 + usize::from(self.chance(5))]);
+                    messages.extend(vec![answer; 1 + usize::from(self.chance(5))]);
                 }
             }
         }
-        let (again, before) = (self.chance(50), self.last.take());
-        self.last = told.last().filter(|t| !t.canceled).or(before.as_ref()).cloned();
-        told.extend(before.filter(|_| again && link.watch.is_some()));
-        told.iter().map(|t| Down::Message(call, t.encode_to_vec())).collect()
+        let (is_repeated, previous) = (self.chance(50), self.last_message.take());
+        self.last_message =
+            messages.last().filter(|message| !message.canceled).or(previous.as_ref()).cloned();
+        messages.extend(previous.filter(|_| is_repeated && link.watch.is_some()));
+        messages.iter().map(|message| RegistryMessage::Message(call, message.encode_to_vec())).collect()
     }
 
     fn step(&mut self) {
         self.now += 5 * MS;
         let now = self.now;
         self.documents.tick(now, &mut self.actions);
-        self.carry_out();
-        if self.link.as_ref().is_some_and(|l| !l.stalled && l.opens.is_none()) {
-            self.serve();
-            while let Some(down) = self.link.as_mut().and_then(|l| l.down.pop_front_if(|d| d.0 <= now)) {
-                match down.1 {
-                    Down::Message(call, bytes) => {
-                        self.handed.extend(self.calls.get(&call));
+        self.execute_actions();
+        if self.link.as_ref().is_some_and(|link| !link.stalled && link.opens_at.is_none()) {
+            self.serve_member();
+            while let Some(response) =
+                self.link.as_mut().and_then(|link| link.responses.pop_front_if(|response| response.0 <= now))
+            {
+                match response.1 {
+                    RegistryMessage::Message(call, bytes) => {
+                        self.delivered.extend(self.calls.get(&call));
                         self.documents.message_received(now, call, &bytes, &mut self.actions);
                     }
-                    Down::Ended(call, status) => {
+                    RegistryMessage::Ended(call, status) => {
                         self.documents.call_ended(now, call, status, &mut self.actions)
                     }
                 }
-                self.carry_out();
+                self.execute_actions();
             }
         }
-        if let Some(link) = self.link.as_mut().filter(|l| l.opens.is_some_and(|at| at <= now)) {
-            link.opens = None;
-            self.documents.dialed(now, link.name, &mut self.actions);
-            self.carry_out();
+        if let Some(link) = self.link.as_mut().filter(|link| link.opens_at.is_some_and(|at| at <= now)) {
+            link.opens_at = None;
+            self.documents.dialed(now, link.id, &mut self.actions);
+            self.execute_actions();
         }
         for (caller, reply) in self.documents.take_replies() {
             let (Caller::Owner(id), Reply::Outcome(answer)) = (caller, reply) else { panic!("{caller:?}") };
-            assert_eq!(self.answers.insert(id, answer), None, "one answer each");
-            let handed = self.handed.contains(&id);
+            assert_eq!(self.answers.insert(id, answer), None, "transaction {id} got a second reply");
+            let is_delivered = self.delivered.contains(&id);
             match answer {
                 Outcome::Committed { .. } | Outcome::CompareFailed => {
-                    assert!(handed, "{id}: {answer:?} from nowhere")
+                    assert!(is_delivered, "transaction {id}: {answer:?} without a response")
+                }
+                Outcome::Unknown => assert!(!is_delivered, "transaction {id}: unknown despite a response"),
+                Outcome::NotSent => {
+                    assert!(!self.calls.values().any(|c| *c == id), "transaction {id} was sent")
                 }
-                Outcome::Unknown => assert!(!handed, "{id}: its answer came"),
-                Outcome::NotSent => assert!(!self.calls.values().any(|c| *c == id), "{id} was sent"),
             }
         }
         let revision = self.documents.revision();
-        assert!(revision >= self.shown, "the mirror went back");
-        self.shown = revision;
+        assert!(revision >= self.last_revision, "the mirror went back to an older revision");
+        self.last_revision = revision;
         if revision > 0 {
-            assert_eq!(self.mirror(), self.past[&revision], "the mirror shows what never was");
+            assert_eq!(
+                self.mirror(),
+                self.history[&revision],
+                "the mirror differs from the registry at its revision"
+            );
         }
     }
 
+    /// Returns the mirrored documents.
     fn mirror(&self) -> State {
         let document = |(key, d): (&str, &larchdale::registry::documents::Document)| {
             (key.to_owned(), (d.value.clone(), d.mod_revision))
@@ -317,18 +351,19 @@
         self.documents.with_prefix("").map(document).collect()
     }
 
-    fn go_wrong(&mut self) {
+    /// Causes random changes, transactions and faults.
+    fn inject_events(&mut self) {
         if self.chance(40) {
-            self.change();
+            self.change_documents();
         }
         if self.chance(60) {
             self.submit();
         }
         if self.chance(400) {
-            self.cut();
+            self.lose_connection();
         }
         if self.chance(900) {
-            self.link.iter_mut().for_each(|l| l.stalled = true);
+            self.link.iter_mut().for_each(|link| link.stalled = true);
         }
         if self.chance(300) {
             let member = self.rng.random_range(0..MEMBERS);
@@ -339,8 +374,8 @@
         }
     }
 
-    /// Nothing goes wrong any more.
-    fn calm(&mut self, time: Micros) {
+    /// Runs for a time without faults.
+    fn run_without_faults(&mut self, time: Micros) {
         self.lag = [None; MEMBERS];
         for _ in 0..time / (5 * MS) {
             self.step();
@@ -349,81 +384,89 @@
 }
 
 #[test]
-fn the_mirror_is_always_a_past_state_and_each_transaction_has_one_true_answer() {
+fn the_mirror_equals_a_past_state_and_each_transaction_gets_one_correct_outcome() {
     let mut answered: BTreeMap<String, u64> = BTreeMap::new();
     for seed in 0..60 {
-        let mut sim = Sim::new(seed, 100);
+        let mut sim = Simulation::new(seed, 100);
         for _ in 0..6_000 {
-            sim.go_wrong();
+            sim.inject_events();
             sim.step();
         }
-        sim.calm(30 * S);
-        assert_eq!(sim.mirror(), sim.past[&sim.store.revision], "seed {seed}: current once all is well");
+        sim.run_without_faults(30 * S);
+        assert_eq!(
+            sim.mirror(),
+            sim.history[&sim.store.revision],
+            "seed {seed}: mirror is not current after the faults ended"
+        );
         assert!(sim.documents.is_current(sim.now), "seed {seed}");
-        assert_eq!(sim.answers.len() as u64, sim.submitted, "seed {seed}: each is answered");
+        assert_eq!(sim.answers.len() as u64, sim.submitted, "seed {seed}: a transaction has no outcome");
         for (id, answer) in &sim.answers {
             let value = format!("#{id}").into_bytes();
-            let times = sim.store.history().iter().filter(|c| c.value.as_ref() == Some(&value)).count();
+            let commits = sim.store.history().iter().filter(|c| c.value.as_ref() == Some(&value)).count();
             match answer {
                 Outcome::Committed { revision } => {
-                    assert_eq!((times, sim.past[revision].values().any(|v| v.0 == value)), (1, true));
+                    assert_eq!((commits, sim.history[revision].values().any(|v| v.0 == value)), (1, true));
                 }
                 Outcome::CompareFailed | Outcome::NotSent => {
-                    assert_eq!(times, 0, "seed {seed}: {id} {answer:?}")
+                    assert_eq!(commits, 0, "seed {seed}: {id} {answer:?}")
                 }
-                Outcome::Unknown => assert!(times <= 1, "sent once"),
+                Outcome::Unknown => assert!(commits <= 1, "transaction {id} was committed twice"),
             }
             let name = format!("{answer:?}").split(' ').next().unwrap().to_owned();
             *answered.entry(name).or_default() += 1;
         }
     }
-    assert!(answered.len() == 4 && answered.values().all(|n| *n > 20), "all ends are met: {answered:?}");
+    assert!(
+        answered.len() == 4 && answered.values().all(|n| *n > 20),
+        "an outcome is too rare: {answered:?}"
+    );
 }
 
 #[test]
-fn beyond_its_bound_the_last_good_mirror_stays_and_it_is_said() {
+fn the_last_valid_mirror_is_kept_and_an_error_reported_above_the_key_limit() {
     for seed in 0..8 {
-        let mut sim = Sim::new(seed, 4);
-        sim.calm(5 * S);
+        let mut sim = Simulation::new(seed, 4);
+        sim.run_without_faults(5 * S);
         for n in 0..6 {
             sim.store.put(format!("{PREFIX}k{n}").as_bytes(), b"x", 0);
-            sim.remember();
-            sim.calm(S);
+            sim.record_state();
+            sim.run_without_faults(S);
         }
-        sim.calm(20 * S);
-        assert_eq!((sim.mirror().len(), sim.full > 0), (4, true));
+        sim.run_without_faults(20 * S);
+        assert_eq!((sim.mirror().len(), sim.limit_errors > 0), (4, true));
         assert!(!sim.documents.is_current(sim.now));
         for n in 0..3 {
             sim.store.delete(format!("{PREFIX}k{n}").as_bytes());
-            sim.remember();
+            sim.record_state();
         }
-        sim.calm(20 * S);
-        assert_eq!(sim.mirror(), sim.past[&sim.store.revision]);
+        sim.run_without_faults(20 * S);
+        assert_eq!(sim.mirror(), sim.history[&sim.store.revision]);
     }
 }
 
-/// Far longer than anything here takes: only a hang gets there.
-const HANG: Duration = Duration::from_secs(30);
+/// Time after which a wait is considered hung; far longer than any wait of these tests takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 const LEASE: Micros = 10 * S;
 
-struct Proxy {
+/// A driver with its event loop and clock.
+struct Follower {
     driver: DocumentsDriver,
     event_loop: EventLoop,
-    began: Instant,
-    /// Its clock was put on by so much.
+    started_at: Instant,
+    /// Time by which the clock was moved forward.
     skipped: Micros,
 }
 
-impl Proxy {
+impl Follower {
     fn new(name: &str, registry: &Registry, member: usize) -> Self {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let endpoints = vec![registry.addresses[member]];
         let driver = DocumentsDriver::new(endpoints, PREFIX, LEASE, name, member as u64, 0, log);
-        Proxy { driver, event_loop: EventLoop::new().unwrap(), began: Instant::now(), skipped: 0 }
+        Follower { driver, event_loop: EventLoop::new().unwrap(), started_at: Instant::now(), skipped: 0 }
     }
 
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros + self.skipped
+        self.started_at.elapsed().as_micros() as Micros + self.skipped
     }
 
     fn turn(&mut self) {
@@ -434,117 +477,125 @@
         self.driver.turn(now, &mut self.event_loop);
     }
 
-    fn until<R>(&mut self, what: &str, mut done: impl FnMut(&mut DocumentsDriver, Micros) -> Option<R>) -> R {
-        let until = Instant::now() + HANG;
+    /// Runs turns until `condition` returns a result; `what` names the condition.
+    fn wait_until<R>(
+        &mut self,
+        what: &str,
+        mut condition: impl FnMut(&mut DocumentsDriver, Micros) -> Option<R>,
+    ) -> R {
+        let deadline = Instant::now() + HANG_TIMEOUT;
         loop {
             self.turn();
             let now = self.now();
-            if let Some(result) = done(&mut self.driver, now) {
+            if let Some(result) = condition(&mut self.driver, now) {
                 return result;
             }
-            assert!(Instant::now() < until, "never: {what}");
+            assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         }
     }
 
-    fn leads(&mut self) -> i64 {
-        self.until("leads", |d, now| d.fence(now))
+    /// Waits until this instance leads; returns the fence.
+    fn wait_for_leadership(&mut self) -> i64 {
+        self.wait_until("leadership", |d, now| d.fence(now))
     }
 
-    fn shows(&mut self, key: &str, value: &str) {
+    fn wait_for_document(&mut self, key: &str, value: &str) {
         let shown = |d: &mut DocumentsDriver, _| {
             d.get(key).filter(|document| document.value == value.as_bytes()).map(|_| ())
         };
-        self.until(value, shown);
+        self.wait_until(value, shown);
     }
 
+    /// Submits a transaction and waits for the outcome.
     fn write(&mut self, id: u64, transaction: Transaction) -> Outcome {
         let now = self.now();
         self.driver.submit(now, id, transaction).unwrap();
-        let (answered, answer) = self.until("answered", |d, _| d.take_outcomes().pop());
+        let (answered, answer) = self.wait_until("the outcome", |d, _| d.take_outcomes().pop());
         assert_eq!(answered, id);
         answer
     }
 }
 
 #[test]
-fn a_successor_takes_over_from_a_silent_planner_whose_writes_then_change_nothing() {
+fn a_successor_replaces_a_partitioned_planner_whose_later_writes_fail() {
     let registry = Registry::start(2).unwrap();
-    let (mut a, mut b) = (Proxy::new("a", &registry, 0), Proxy::new("b", &registry, 1));
+    let (mut a, mut b) = (Follower::new("a", &registry, 0), Follower::new("b", &registry, 1));
     a.driver.set_campaigning(true);
-    let first = a.leads();
+    let first = a.wait_for_leadership();
     b.driver.set_campaigning(true);
-    b.shows(PLANNER_KEY, "a");
+    b.wait_for_document(PLANNER_KEY, "a");
     assert!(matches!(a.write(1, fenced(put("map", "one"), first)), Outcome::Committed { .. }));
-    b.shows("map", "one");
+    b.wait_for_document("map", "one");
     assert!(b.driver.take_changes().keys.contains(&"map".to_owned()));
-    // It is committed, and the answer is lost: the mirror tells.
+    // The write is committed and its response lost; the mirror shows the write.
     registry.fault(0, Fault::LoseAnswer(1));
     assert_eq!(a.write(2, fenced(put("map", "two"), first)), Outcome::Unknown);
-    a.shows("map", "two");
+    a.wait_for_document("map", "two");
     let now = a.now();
-    assert_eq!(a.driver.fence(now), Some(first), "a lost connection is no lost lease");
-    // It is paused past its lease, and cut off.
+    assert_eq!(a.driver.fence(now), Some(first), "a lost connection must not end the leadership");
+    // The planner is partitioned and paused until its lease has expired.
     registry.fault(0, Fault::Stalled);
     registry.skip(Duration::from_micros(LEASE));
-    let second = b.leads();
+    let second = b.wait_for_leadership();
     assert!(second > first);
     assert!(matches!(b.write(1, fenced(put("map", "three"), second)), Outcome::Committed { .. }));
     a.skipped += LEASE;
     let now = a.now();
-    assert_eq!(a.driver.fence(now), None, "before anybody told it");
+    assert_eq!(a.driver.fence(now), None, "the planner still leads by its own clock");
     registry.fault(0, Fault::None);
-    a.shows("map", "three");
+    a.wait_for_document("map", "three");
     assert_eq!(a.write(3, fenced(put("map", "late"), first)), Outcome::CompareFailed);
-    // Who resigns is followed at once.
+    // A planner that resigns is replaced immediately.
     b.driver.set_campaigning(false);
-    b.until("resigned", |d, _| d.get(PLANNER_KEY).is_none().then_some(()));
-    let third = a.leads();
+    b.wait_until("the end of the lease", |d, _| d.get(PLANNER_KEY).is_none().then_some(()));
+    let third = a.wait_for_leadership();
     assert!(matches!(a.write(4, fenced(put("map", "four"), third)), Outcome::Committed { .. }));
     let written = registry.with(|s| {
-        let of = |key: &str| {
+        let values_of = |key: &str| {
             let key = format!("{PREFIX}{key}").into_bytes();
             let value = |v: &Vec<u8>| String::from_utf8(v.clone()).unwrap();
-            let all = s.history().iter().filter(|c| c.key == key);
-            all.map(|c| c.value.as_ref().map_or("-".to_owned(), value)).collect::<Vec<_>>().join(" ")
+            let changes = s.history().iter().filter(|c| c.key == key);
+            changes.map(|c| c.value.as_ref().map_or("-".to_owned(), value)).collect::<Vec<_>>().join(" ")
         };
-        (of("map"), of(PLANNER_KEY))
+        (values_of("map"), values_of(PLANNER_KEY))
     });
     assert_eq!(written, ("one two three four".to_owned(), "a - b - a".to_owned()));
 }
 
-/// Guards against a connection that is given up for silence though its answer lies unread: the follower was stopped.
+/// Guards against closing a connection for a check timeout although the response has arrived but was not read yet,
+/// because the process was paused.
 #[test]
-fn an_answer_that_came_during_a_pause_is_read_before_its_silence_is_judged() {
+fn a_response_received_during_a_pause_is_read_before_timeouts_are_checked() {
     let registry = Registry::start(1).unwrap();
-    let mut follower = Proxy::new("a", &registry, 0);
-    let confirmed = follower.until("confirmed", |d, _| d.confirmed());
+    let mut follower = Follower::new("a", &registry, 0);
+    let confirmed = follower.wait_until("confirmation", |d, _| d.confirmed());
     let connection = follower.driver.token();
     follower.skipped += 2 * S;
     let is_checking =
         |d: &mut DocumentsDriver, _| matches!(d.phase(), FollowPhase::Checking { .. }).then_some(());
-    follower.until("a check under way", is_checking);
-    // Its answer comes while the follower does not look.
+    follower.wait_until("a check in flight", is_checking);
+    // The response arrives while the follower takes no turn.
     std::thread::sleep(Duration::from_millis(100));
     follower.skipped += 30 * S;
     follower.turn();
-    assert!(follower.driver.confirmed() > Some(confirmed), "the answer was not read");
-    assert_eq!(follower.driver.token(), connection, "the connection was given up");
+    assert!(follower.driver.confirmed() > Some(confirmed), "the response was not read");
+    assert_eq!(follower.driver.token(), connection, "the connection was closed");
 }
 
-/// Guards against a planner's write that is carried out after its lease: it waited for the watch, and the follower was
-/// stopped when the watch came.
+/// Guards against a planner's write that is executed after its lease has expired: the write waited for the watch, and
+/// the process was paused when the watch was created.
 #[test]
 fn a_call_that_waited_too_long_during_a_pause_is_not_sent() {
     let registry = Registry::start(1).unwrap();
-    // The watch may come in the same turn as it is asked for; then another follower is tried.
-    let caught = (0..100).find_map(|attempt| {
-        let mut follower = Proxy::new("a", &registry, 0);
+    // The watch may be created in the same turn in which it is requested; then another follower is tried.
+    let waiting = (0..100).find_map(|attempt| {
+        let mut follower = Follower::new("a", &registry, 0);
         let now = follower.now();
         follower.driver.submit(now, attempt, put("late", "x")).unwrap();
-        let phase = follower.until("the list", |d, _| (d.revision() > 0).then_some(d.phase()));
+        let phase = follower.wait_until("the list", |d, _| (d.revision() > 0).then_some(d.phase()));
         (phase == FollowPhase::Listing).then_some(follower)
     });
-    let mut follower = caught.expect("a follower whose watch has not begun");
+    let mut follower = waiting.expect("a follower whose watch is not created yet");
     std::thread::sleep(Duration::from_millis(100));
     follower.skipped += 30 * S;
     follower.turn();
