--- a/src/endpoints/change_queue.rs
+++ b/src/endpoints/change_queue.rs
@@ -1,16 +1,16 @@
-//! The ids of endpoints whose change the owner has not taken yet, drains and removals first.
+//! Queue of the endpoints whose changes the owner has not taken yet, drains and removals first.
 //!
-//! Owned by [`EndpointList`](super::EndpointList), which keeps beside each endpoint whether it is queued.
+//! Owned by [`EndpointList`](super::EndpointList), which stores with each endpoint the queue that the endpoint is in.
 
 use crate::routing::events::Id;
 use std::collections::VecDeque;
 
-/// How soon a change is to be taken.
+/// Urgency of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Urgency {
     /// The endpoint accepts requests.
     Ordinary,
-    /// The endpoint accepts none any more.
+    /// The endpoint accepts no requests any more.
     Urgent,
 }
 
@@ -22,13 +22,13 @@
 }
 
 impl ChangeQueue {
-    /// How many endpoints are queued.
+    /// Returns the number of queued endpoints.
     pub(super) fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Queues an endpoint; `queued` is where it stands already. An urgent change goes ahead of an ordinary one of the
-    /// same endpoint, whose id then stands in both queues.
+    /// Queues an endpoint; `queued` is the queue that the endpoint is already in. An urgent change replaces an ordinary
+    /// one of the same endpoint, whose id is then in both queues.
     pub(super) fn push(&mut self, id: &Id, queued: &mut Option<Urgency>, urgency: Urgency) {
         if queued.is_none() {
             self.waiting += 1;
@@ -46,7 +46,8 @@
         }
     }
 
-    /// The next id and the queue it stood in. It counts as waiting until [`ChangeQueue::taken`].
+    /// Removes the next id and returns it with its queue. The endpoint counts as waiting until
+    /// [`ChangeQueue::mark_taken`] is called.
     pub(super) fn pop(&mut self) -> Option<(Id, Urgency)> {
         if let Some(id) = self.urgent.pop_front() {
             return Some((id, Urgency::Urgent));
@@ -54,8 +55,8 @@
         self.ordinary.pop_front().map(|id| (id, Urgency::Ordinary))
     }
 
-    /// An endpoint is queued no more.
-    pub(super) fn taken(&mut self) {
+    /// Records that the change of a queued endpoint was taken.
+    pub(super) fn mark_taken(&mut self) {
         self.waiting -= 1;
     }
 }
--- a/src/endpoints/entry.rs
+++ b/src/endpoints/entry.rs
@@ -1,77 +1,77 @@
-//! What a source reports of an endpoint, and what the list hands on to its owner.
+//! Entries that a source reports, and changes that the list passes on to its owner.
 
 use crate::routing::events::{Endpoint, EndpointState, Id, Micros, Role};
 use std::net::SocketAddr;
 
-/// What a source reports of one endpoint.
+/// An endpoint as reported by a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: Id,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// What it is.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Its zone, as an index of the settings' list.
+    /// Index of the zone in the settings.
     pub zone: usize,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u32,
-    /// Its kind, as an index of the settings' list.
+    /// Index of the kind in the settings.
     pub kind: u32,
-    /// Its weight.
+    /// Weight of the endpoint.
     pub weight: f64,
-    /// When it last started; 0: long ago, or unknown.
+    /// Time of the last start; 0 if the start was long ago or is unknown.
     pub started_at: Micros,
-    /// Which process under this id it is: a number that grows with each new process. 0: the source does not know;
-    /// then only a later start shows a new process.
+    /// Number of the process with this id, which grows with each new process. 0 if the source does not know the number;
+    /// a new process is then detected only by a later start.
     pub incarnation: u64,
 }
 
-/// What becomes of the connections to an endpoint.
+/// What happens to the connections to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// They stay.
+    /// The connections are kept.
     Keep,
-    /// Those dialed before this moment lead to a process that is gone.
+    /// Connections dialed before this time are replaced, because their process is gone.
     ReplaceBefore(Micros),
-    /// No new request is sent on them; they end when they are idle.
+    /// No new request is sent on the connections, and each is closed when idle.
     End,
 }
 
-/// What a change of the list means for one endpoint.
+/// A change of one endpoint for the owner of the list.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The endpoint as the router knows it.
+    /// The endpoint in the form of the router.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// What becomes of its connections.
+    /// What happens to the connections to the endpoint.
     pub connections: Connections,
 }
 
-/// Why a list is rejected.
+/// The error for a list or entry that exceeds the maximum number of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{count} endpoints are listed, at most {most} are allowed; remove endpoints at the source of the list"
+    "{count} endpoints are listed, at most {max} are allowed; remove endpoints at the source of the list"
 )]
 pub struct TooManyEndpoints {
-    /// How many endpoints there would be.
+    /// Number of endpoints that the list would have.
     pub count: usize,
-    /// How many are allowed.
-    pub most: usize,
+    /// Maximum number of endpoints.
+    pub max: usize,
 }
 
-/// How many endpoints are in which state.
+/// Numbers of endpoints by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// They accept new requests.
+    /// Endpoints that accept new requests.
     pub ready: usize,
-    /// They accept none, but are listed.
+    /// Endpoints that are listed but accept no new requests.
     pub draining: usize,
-    /// A later endpoint claims their address.
+    /// Endpoints whose address is owned by another endpoint.
     pub shadowed: usize,
-    /// Changes that the owner has not taken yet.
+    /// Endpoints whose change the owner has not taken yet.
     pub waiting: usize,
 }
--- a/src/endpoints/list.rs
+++ b/src/endpoints/list.rs
@@ -1,4 +1,5 @@
-//! The list of endpoints: which accept requests, which process owns an address, and which changes wait for the owner.
+//! The endpoint list: which endpoints accept requests, which endpoint owns an address, and which changes the owner has
+//! not taken yet.
 
 #[cfg(test)]
 mod tests;
@@ -9,31 +10,33 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
-/// A moment after any dial: all connections are meant.
+/// A time after any dial, so that all connections are replaced.
 const ALL_CONNECTIONS: Micros = Micros::MAX;
 
+/// A listed endpoint, or a removed one whose removal the owner has not taken yet.
 #[derive(Clone, Debug)]
 struct Slot {
     entry: Entry,
-    /// Which claim to its address it makes: a later one is a larger number.
+    /// Sequence number of the endpoint's claim to its address; a later claim has a larger number.
     claim: u64,
-    /// The start that the source last reported; the entry's is later where a restart was detected by dialing.
+    /// Start time that the source reported last. The entry has a later one if a restart was detected by dialing.
     reported_start: Micros,
-    /// Another endpoint owns its address.
+    /// Whether another endpoint owns the address.
     shadowed: bool,
-    /// Since when no new request may be written.
+    /// Time since which no new request may be written; `None` while the endpoint accepts requests.
     closed_since: Option<Micros>,
-    /// The state that the owner has taken.
+    /// State in the last change that the owner took.
     announced: Option<EndpointState>,
-    /// Connections dialed before this are replaced once the owner takes the change.
+    /// Connections dialed before this time are replaced when the owner takes the change.
     replace_before: Option<Micros>,
+    /// Queue that the endpoint is in, if its change is waiting.
     queued: Option<Urgency>,
 }
 
 impl Slot {
     fn new(now: Micros, entry: Entry, claim: u64) -> Self {
-        // An earlier process under this id may have been announced as removed and still have connections that are
-        // not idle. Where the source knows no incarnation, those from before the start are that process's.
+        // An earlier process with this id may have been removed and may still have connections that are not idle. If
+        // the source reports no incarnation, connections dialed before the start belong to that process.
         let replace_before = if entry.incarnation != 0 {
             Some(ALL_CONNECTIONS)
         } else {
@@ -51,7 +54,7 @@
         }
     }
 
-    /// The state that counts: an endpoint whose address another one owns is removed, whatever its entry says.
+    /// Returns the effective state: an endpoint whose address another one owns counts as removed, regardless of its entry.
     fn state(&self) -> EndpointState {
         if self.shadowed {
             EndpointState::Removed
@@ -60,21 +63,22 @@
         }
     }
 
-    /// The greatest owns an address: the later incarnation, the later start, the later claim.
+    /// Returns the rank among the claimants of an address, the greatest of which owns it: by incarnation, start time and
+    /// claim.
     fn rank(&self) -> (u64, Micros, u64) {
         (self.entry.incarnation, self.entry.started_at, self.claim)
     }
 
-    /// Whether an entry is of another process than the present one.
+    /// Whether an entry belongs to another process than the current entry.
     fn is_new_incarnation(&self, entry: &Entry) -> bool {
         let known = self.entry.incarnation;
         known != entry.incarnation && known != 0 && entry.incarnation != 0
     }
 
-    /// The start that counts for slow start once an entry replaces the present one.
+    /// Returns the start time for slow start when an entry replaces the current one.
     ///
-    /// A detected restart stands until the source reports a start that it has not reported before: whole lists and
-    /// notices of a drain repeat the old one. A new process starts cold, also where its record has no start.
+    /// A detected restart remains valid until the source reports a new start time, because complete lists and drain
+    /// updates repeat the old one. A new process starts cold even if its record has no start time.
     fn effective_start(&self, now: Micros, entry: &Entry) -> Micros {
         let known = self.entry.started_at;
         let reported_again = self.reported_start == entry.started_at;
@@ -89,8 +93,8 @@
         }
     }
 
-    /// What the owner is to do, and marks it as taken. `None`: the owner never knew the endpoint, or has taken its
-    /// removal already.
+    /// Returns the change for the owner and marks the change as taken. Returns `None` for a removal if the owner never
+    /// knew the endpoint or has already taken its removal.
     fn take_change(&mut self) -> Option<Change> {
         self.queued = None;
         let state = self.state();
@@ -123,20 +127,20 @@
     }
 }
 
-/// The list of endpoints; see the module's page.
+/// The endpoint list; see the module documentation.
 #[derive(Debug)]
 pub struct EndpointList {
     slots: FxHashMap<Id, Slot>,
-    /// Who claims an address; nearly always one.
+    /// Ids of the endpoints that claim an address, nearly always one.
     claims: FxHashMap<SocketAddr, Vec<Id>>,
     changes: ChangeQueue,
-    /// Claims made so far.
+    /// Sequence number of the last claim.
     last_claim: u64,
     max_endpoints: usize,
 }
 
 impl EndpointList {
-    /// An empty list that takes up to `max_endpoints` endpoints.
+    /// Creates an empty list for at most `max_endpoints` endpoints.
     pub fn new(max_endpoints: usize) -> Self {
         EndpointList {
             slots: FxHashMap::default(),
@@ -147,44 +151,45 @@
         }
     }
 
-    /// Takes a whole list: endpoints that it does not name are removed.
+    /// Applies a complete list. Endpoints that are not in the list are removed.
     ///
     /// # Errors
     ///
-    /// [`TooManyEndpoints`], with nothing changed, where the list is too long.
+    /// [`TooManyEndpoints`] if the list is too long; nothing is changed.
     pub fn replace_all(&mut self, now: Micros, entries: Vec<Entry>) -> Result<(), TooManyEndpoints> {
         let count = entries.iter().filter(|entry| entry.state != EndpointState::Removed).count();
         if count > self.max_endpoints {
-            return Err(TooManyEndpoints { count, most: self.max_endpoints });
+            return Err(TooManyEndpoints { count, max: self.max_endpoints });
         }
         let named: FxHashSet<&Id> = entries.iter().map(|entry| &entry.id).collect();
         let removed: Vec<Id> = self.slots.keys().filter(|id| !named.contains(id)).cloned().collect();
         for id in removed {
             self.remove(now, &id);
         }
-        // Not by `upsert`: slots of removed endpoints that the owner has not taken yet would count.
+        // Not with `upsert`, which would also count the slots of removed endpoints whose removal is not taken yet.
         for entry in entries {
             self.apply(now, entry);
         }
         Ok(())
     }
 
-    /// Takes one entry, of a new endpoint or of a known one.
+    /// Adds or updates an endpoint.
     ///
     /// # Errors
     ///
-    /// [`TooManyEndpoints`], with nothing changed, where it would be one too many.
+    /// [`TooManyEndpoints`] if a new endpoint would exceed the maximum; nothing is changed.
     pub fn upsert(&mut self, now: Micros, entry: Entry) -> Result<(), TooManyEndpoints> {
         let is_new = entry.state != EndpointState::Removed && !self.slots.contains_key(&entry.id);
         if is_new && self.slots.len() >= self.max_endpoints {
-            return Err(TooManyEndpoints { count: self.slots.len() + 1, most: self.max_endpoints });
+            return Err(TooManyEndpoints { count: self.slots.len() + 1, max: self.max_endpoints });
         }
         self.apply(now, entry);
         Ok(())
     }
 
-    /// An endpoint that could not be reached answers again: a new process, started at `started_at` at the latest. A
-    /// later start that the source reports replaces this one. Also for an endpoint that drains: it may become ready.
+    /// Records that an unreachable endpoint responds again, as a new process that started no later than `started_at`. A
+    /// start time that the source reports for the first time replaces this one. Applies to draining endpoints too, which
+    /// may become ready again.
     pub fn mark_restarted(&mut self, now: Micros, id: &str, started_at: Micros) {
         let Some(slot) = self.slots.get(id) else { return };
         if slot.entry.state == EndpointState::Removed || slot.entry.started_at >= started_at {
@@ -212,7 +217,7 @@
         self.queue_change(&id);
     }
 
-    /// Ends new requests to an endpoint whose record can't be read any more.
+    /// Stops new requests to an endpoint whose record can't be decoded any more.
     pub fn close(&mut self, now: Micros, id: &str) {
         let Some(slot) = self.slots.get_mut(id) else { return };
         if slot.entry.state != EndpointState::Healthy {
@@ -224,40 +229,41 @@
         self.queue_change(&id);
     }
 
-    /// Whether a new request may be written to an endpoint, as target or as source. Checked at the moment of writing.
+    /// Whether a new request may be written to an endpoint, as target or as fill source. Must be checked at the time of
+    /// writing.
     pub fn accepts_requests(&self, id: &str) -> bool {
         self.slots.get(id).is_some_and(|slot| slot.closed_since.is_none())
     }
 
-    /// Since when no new request may be written to an endpoint that is still in the list.
+    /// Returns the time since which no new request may be written to a listed endpoint.
     pub fn closed_since(&self, id: &str) -> Option<Micros> {
         self.slots.get(id)?.closed_since
     }
 
-    /// The entry of an endpoint.
+    /// Returns the entry of an endpoint.
     pub fn entry(&self, id: &str) -> Option<&Entry> {
         self.slots.get(id).map(|slot| &slot.entry).filter(|entry| entry.state != EndpointState::Removed)
     }
 
-    /// All entries, in no order.
+    /// Returns all entries, in no particular order.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.slots.values().map(|slot| &slot.entry).filter(|entry| entry.state != EndpointState::Removed)
     }
 
-    /// Whether the owner has changes to take.
+    /// Whether there are changes for the owner to take.
     pub fn has_changes(&self) -> bool {
         self.changes.waiting() > 0
     }
 
-    /// Appends up to `most` changes that the owner has not taken, drains and removals first.
-    pub fn take_changes(&mut self, most: usize, changes: &mut Vec<Change>) {
-        for _ in 0..most {
+    /// Takes at most `max_changes` changes and appends them to `changes`, drains and removals first.
+    pub fn take_changes(&mut self, max_changes: usize, changes: &mut Vec<Change>) {
+        for _ in 0..max_changes {
             let Some(change) = self.next_change() else { return };
             changes.push(change);
         }
     }
 
-    /// How many endpoints are in which state.
+    /// Returns the numbers of endpoints by state.
     pub fn counts(&self) -> Counts {
         let mut counts = Counts { waiting: self.changes.waiting(), ..Counts::default() };
         for slot in self.slots.values() {
@@ -275,11 +281,11 @@
         loop {
             let (id, urgency) = self.changes.pop()?;
             let Some(slot) = self.slots.get_mut(&id) else { continue };
-            // An endpoint that became urgent after it was queued stands in both queues.
+            // An endpoint whose change became urgent after it was queued is in both queues.
             if slot.queued != Some(urgency) {
                 continue;
             }
-            self.changes.taken();
+            self.changes.mark_taken();
             let change = slot.take_change();
             if slot.entry.state == EndpointState::Removed {
                 self.slots.remove(&id);
@@ -321,16 +327,16 @@
         }
         let address = entry.address;
         let old = std::mem::replace(&mut slot.entry, entry);
-        let moved = old.address != address;
-        // Connections to a process that is gone may look open.
-        let replace_before = if moved || is_new_incarnation {
+        let is_moved = old.address != address;
+        // Connections to a process that is gone may still look open.
+        let replace_before = if is_moved || is_new_incarnation {
             Some(ALL_CONNECTIONS)
         } else {
             Some(slot.entry.started_at).filter(|&started_at| started_at > old.started_at)
         };
         slot.replace_before = slot.replace_before.max(replace_before);
-        // An endpoint that returns before the owner took its removal claims its address anew.
-        if moved || is_new_incarnation || old.state == EndpointState::Removed {
+        // An endpoint that is added again before the owner has taken its removal makes a new claim to its address.
+        if is_moved || is_new_incarnation || old.state == EndpointState::Removed {
             self.last_claim += 1;
             slot.claim = self.last_claim;
             self.release_claim(now, old.address, &id);
@@ -355,7 +361,8 @@
         self.resolve_owner(now, address);
     }
 
-    /// Finds the one owner of an address. The others accept no requests: what is written there reaches the owner.
+    /// Determines the owner of an address. The other claimants accept no requests, because requests written to the address
+    /// reach the owner.
     fn resolve_owner(&mut self, now: Micros, address: SocketAddr) {
         let Some(claims) = self.claims.get(&address) else { return };
         let rank = |id: &&Id| self.slots.get(*id).map(Slot::rank);
@@ -368,7 +375,7 @@
         for id in changed {
             if let Some(slot) = self.slots.get_mut(&id) {
                 slot.shadowed = !slot.shadowed;
-                // The regained address is reached by new connections only.
+                // Existing connections to the regained address lead to the previous owner.
                 if !slot.shadowed {
                     slot.replace_before = Some(ALL_CONNECTIONS);
                 }
--- a/src/endpoints/list/tests.rs
+++ b/src/endpoints/list/tests.rs
@@ -1,5 +1,5 @@
-//! The list against a plain model of it: whatever comes in whatever order, the changes that the owner takes end up as what
-//! the sources reported last, and no new request is ever written to an endpoint that the latest report closed.
+//! Tests of the endpoint list, among them a comparison with a simple model: after any sequence of updates, the changes
+//! that the owner takes lead to the last reported state, and no endpoint accepts requests against the latest report.
 
 use super::*;
 use crate::net::testing::config;
@@ -24,164 +24,172 @@
     }
 }
 
-fn taken(list: &mut EndpointList) -> Vec<Change> {
+fn take_all_changes(list: &mut EndpointList) -> Vec<Change> {
     let mut changes = Vec::new();
     list.take_changes(usize::MAX, &mut changes);
     changes
 }
 
-fn listed(changes: &[Change]) -> Vec<(&str, EndpointState, Connections)> {
-    changes.iter().map(|c| (&*c.endpoint.id, c.endpoint.state, c.connections)).collect()
+fn summarize(changes: &[Change]) -> Vec<(&str, EndpointState, Connections)> {
+    changes.iter().map(|change| (&*change.endpoint.id, change.endpoint.state, change.connections)).collect()
 }
 
 use Connections::{End, Keep, ReplaceBefore};
 use EndpointState::{Draining, Healthy, Removed};
 
 #[test]
-fn a_whole_list_yields_additions_and_removals_and_none_when_repeated() {
+fn a_complete_list_yields_additions_and_removals_and_no_changes_when_repeated() {
     let mut list = EndpointList::new(10);
     list.replace_all(NOW, vec![entry(1, 1, Healthy, 0), entry(2, 2, Healthy, 0)]).unwrap();
-    assert_eq!(taken(&mut list).len(), 2);
+    assert_eq!(take_all_changes(&mut list).len(), 2);
     list.replace_all(NOW, vec![entry(1, 1, Healthy, 0), entry(2, 2, Healthy, 0)]).unwrap();
     assert!(!list.has_changes());
     list.replace_all(NOW + 5, vec![entry(3, 3, Healthy, 0), entry(2, 2, Draining, 0)]).unwrap();
     assert_eq!((list.closed_since("b1"), list.closed_since("b2")), (Some(NOW + 5), Some(NOW + 5)));
-    let changes = taken(&mut list);
-    let [(a, ..), (b, ..), last] = listed(&changes)[..] else { panic!("{changes:?}") };
-    assert_eq!((a.min(b), a.max(b), last), ("b1", "b2", ("b3", Healthy, Keep)), "urgent ones first");
+    let changes = take_all_changes(&mut list);
+    let [(a, ..), (b, ..), last] = summarize(&changes)[..] else { panic!("{changes:?}") };
+    assert_eq!(
+        (a.min(b), a.max(b), last),
+        ("b1", "b2", ("b3", Healthy, Keep)),
+        "urgent changes are not first"
+    );
     assert_eq!(list.entries().count(), 2);
 }
 
 #[test]
-fn too_long_a_list_is_rejected_as_a_whole_and_drains_still_apply() {
+fn a_list_above_the_maximum_is_rejected_as_a_whole_and_drains_still_apply() {
     let mut list = EndpointList::new(2);
     list.replace_all(NOW, vec![entry(1, 1, Healthy, 1), entry(2, 2, Healthy, 1)]).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     let long = (3..6).map(|n| entry(n, u16::from(n), Healthy, 1)).collect();
-    assert_eq!(list.replace_all(NOW, long), Err(TooManyEndpoints { count: 3, most: 2 }));
-    assert_eq!(list.upsert(NOW, entry(3, 3, Healthy, 1)), Err(TooManyEndpoints { count: 3, most: 2 }));
+    assert_eq!(list.replace_all(NOW, long), Err(TooManyEndpoints { count: 3, max: 2 }));
+    assert_eq!(list.upsert(NOW, entry(3, 3, Healthy, 1)), Err(TooManyEndpoints { count: 3, max: 2 }));
     assert!(!list.has_changes() && list.accepts_requests("b1"));
     list.upsert(NOW, entry(1, 1, Draining, 1)).unwrap();
     assert!(!list.accepts_requests("b1"));
 }
 
 #[test]
-fn a_new_incarnation_is_cold_and_reached_by_new_connections_only() {
+fn a_new_incarnation_starts_cold_and_replaces_all_connections() {
     let mut list = EndpointList::new(10);
     list.upsert(NOW, entry(1, 1, Healthy, 7)).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.upsert(NOW + 9, entry(1, 1, Healthy, 8)).unwrap();
-    let changes = taken(&mut list);
-    assert_eq!(listed(&changes), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
-    assert_eq!(changes[0].endpoint.started_at, NOW + 9, "an unreported start is now");
-    // Its next record, of the same process and still without a start, does not make it warm.
+    let changes = take_all_changes(&mut list);
+    assert_eq!(summarize(&changes), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
+    assert_eq!(changes[0].endpoint.started_at, NOW + 9, "a start that is not reported is not set to now");
+    // The next record of the same process, still without a start time, does not make the endpoint warm.
     list.upsert(NOW + 99, Entry { weight: 2.0, ..entry(1, 1, Healthy, 8) }).unwrap();
-    assert_eq!(taken(&mut list)[0].endpoint.started_at, NOW + 9);
+    assert_eq!(take_all_changes(&mut list)[0].endpoint.started_at, NOW + 9);
 }
 
 #[test]
-fn a_new_address_replaces_all_connections_and_a_later_start_those_before_it() {
+fn a_new_address_replaces_all_connections_and_a_later_start_the_older_connections() {
     let mut list = EndpointList::new(10);
     list.upsert(NOW, entry(1, 1, Healthy, 0)).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.upsert(NOW, entry(1, 2, Healthy, 0)).unwrap();
-    assert_eq!(listed(&taken(&mut list)), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
+    assert_eq!(summarize(&take_all_changes(&mut list)), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
     list.upsert(NOW, Entry { started_at: 50, ..entry(1, 2, Healthy, 0) }).unwrap();
-    assert_eq!(listed(&taken(&mut list)), [("b1", Healthy, ReplaceBefore(50))]);
+    assert_eq!(summarize(&take_all_changes(&mut list)), [("b1", Healthy, ReplaceBefore(50))]);
 }
 
 #[test]
-fn the_later_endpoint_owns_an_address_until_it_is_removed() {
+fn the_endpoint_with_the_later_incarnation_owns_an_address_until_it_is_removed() {
     let mut list = EndpointList::new(10);
     list.upsert(NOW, entry(1, 1, Healthy, 3)).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.upsert(NOW + 1, entry(2, 1, Healthy, 5)).unwrap();
     assert!(!list.accepts_requests("b1") && list.accepts_requests("b2"));
     assert_eq!(
-        listed(&taken(&mut list)),
+        summarize(&take_all_changes(&mut list)),
         [("b1", Removed, End), ("b2", Healthy, ReplaceBefore(ALL_CONNECTIONS))]
     );
-    // An update of the older process does not give it the address back.
+    // An update of the older process does not return the address to it.
     list.upsert(NOW + 2, Entry { weight: 9.0, ..entry(1, 1, Healthy, 3) }).unwrap();
     assert!(!list.accepts_requests("b1"));
     list.remove(NOW + 3, "b2");
-    let changes = taken(&mut list);
-    assert!(listed(&changes).contains(&("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))), "{changes:?}");
+    let changes = take_all_changes(&mut list);
+    assert!(summarize(&changes).contains(&("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))), "{changes:?}");
     assert!(list.accepts_requests("b1") && list.counts() == Counts { ready: 1, ..Counts::default() });
 }
 
 #[test]
-fn an_endpoint_added_and_removed_between_two_portions_is_never_announced() {
+fn an_endpoint_added_and_removed_between_two_batches_is_never_announced() {
     let mut list = EndpointList::new(10);
     list.upsert(NOW, entry(1, 1, Healthy, 1)).unwrap();
     list.remove(NOW, "b1");
-    assert!(taken(&mut list).is_empty() && !list.has_changes() && list.slots.is_empty());
+    assert!(take_all_changes(&mut list).is_empty() && !list.has_changes() && list.slots.is_empty());
     list.upsert(NOW, entry(1, 1, Healthy, 2)).unwrap();
-    assert_eq!(taken(&mut list).len(), 1);
+    assert_eq!(take_all_changes(&mut list).len(), 1);
     list.close(NOW + 4, "b1");
     list.close(NOW + 5, "b1");
-    assert_eq!(list.closed_since("b1"), Some(NOW + 4), "from the first close on");
-    assert_eq!(listed(&taken(&mut list)), [("b1", Draining, Keep)]);
+    assert_eq!(list.closed_since("b1"), Some(NOW + 4), "not closed since the first close");
+    assert_eq!(summarize(&take_all_changes(&mut list)), [("b1", Draining, Keep)]);
 }
 
-/// A restart that was detected by dialing stands while the source repeats the start before it: in a late whole list, with a
-/// drain, and when it becomes ready again. Otherwise a cold endpoint would be sent the load of a warm one.
+/// Guards against sending the load of a warm endpoint to a cold one: a source repeats the start time from before a
+/// restart that was detected by dialing, in a late complete list, with a drain and when the endpoint becomes ready again.
 #[test]
-fn a_detected_restart_stands_until_the_source_reports_a_new_start() {
+fn a_detected_restart_remains_valid_until_the_source_reports_a_new_start() {
     let reported = |state, started_at| Entry { started_at, ..entry(1, 1, state, 0) };
     let mut list = EndpointList::new(10);
     list.upsert(NOW, reported(Healthy, 50)).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.mark_restarted(NOW + 5, "b1", NOW + 4);
-    assert_eq!(taken(&mut list)[0].endpoint.started_at, NOW + 4);
+    assert_eq!(take_all_changes(&mut list)[0].endpoint.started_at, NOW + 4);
     list.replace_all(NOW + 6, vec![reported(Healthy, 50)]).unwrap();
-    assert!(taken(&mut list).is_empty() && list.entry("b1").unwrap().started_at == NOW + 4);
+    assert!(take_all_changes(&mut list).is_empty() && list.entry("b1").unwrap().started_at == NOW + 4);
     list.upsert(NOW + 7, reported(Draining, 50)).unwrap();
-    assert_eq!(taken(&mut list)[0].endpoint.started_at, NOW + 4);
-    // Detected while it drains: it comes back cold.
+    assert_eq!(take_all_changes(&mut list)[0].endpoint.started_at, NOW + 4);
+    // A restart that is detected during a drain makes the endpoint start cold when it becomes ready.
     list.mark_restarted(NOW + 9, "b1", NOW + 8);
     assert!(!list.accepts_requests("b1"));
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.upsert(NOW + 10, reported(Healthy, 50)).unwrap();
-    assert_eq!(taken(&mut list)[0].endpoint.started_at, NOW + 8);
-    // A start that the source reports for the first time counts, also where it is earlier than the dial that detected it.
+    assert_eq!(take_all_changes(&mut list)[0].endpoint.started_at, NOW + 8);
+    // A start time that the source reports for the first time applies even if it is earlier than the detecting dial.
     list.upsert(NOW + 11, reported(Healthy, NOW + 6)).unwrap();
-    assert_eq!(taken(&mut list)[0].endpoint.started_at, NOW + 6);
+    assert_eq!(take_all_changes(&mut list)[0].endpoint.started_at, NOW + 6);
 }
 
-/// Removed and added with a later start, each announced by itself: connections from before the start lead to a process
-/// that is gone.
+/// Guards against using connections to a process that is gone, after an endpoint was removed and added again with a later
+/// start, with and without the removal being taken in between.
 #[test]
-fn an_endpoint_added_again_gets_no_connection_from_before_its_start() {
-    for between in [false, true] {
+fn an_endpoint_added_again_replaces_the_connections_from_before_its_start() {
+    for is_removal_taken in [false, true] {
         let mut list = EndpointList::new(10);
         list.upsert(NOW, entry(1, 1, Healthy, 0)).unwrap();
-        taken(&mut list);
+        take_all_changes(&mut list);
         list.remove(NOW + 1, "b1");
-        if between {
-            assert_eq!(listed(&taken(&mut list)), [("b1", Removed, End)]);
+        if is_removal_taken {
+            assert_eq!(summarize(&take_all_changes(&mut list)), [("b1", Removed, End)]);
         }
         list.upsert(NOW + 2, Entry { started_at: NOW + 1, ..entry(1, 1, Healthy, 0) }).unwrap();
-        assert_eq!(listed(&taken(&mut list)), [("b1", Healthy, ReplaceBefore(NOW + 1))], "{between}");
+        assert_eq!(
+            summarize(&take_all_changes(&mut list)),
+            [("b1", Healthy, ReplaceBefore(NOW + 1))],
+            "{is_removal_taken}"
+        );
         assert!(list.accepts_requests("b1"));
     }
 }
 
 #[test]
-fn two_endpoints_that_swap_addresses_are_both_ready_and_connected_anew() {
-    for (one, two) in [(0, 0), (0, 70), (70, 0)] {
+fn two_endpoints_that_swap_addresses_are_both_ready_and_replace_all_connections() {
+    for (first_start, second_start) in [(0, 0), (0, 70), (70, 0)] {
         let mut list = EndpointList::new(10);
         let at = |id, port, started_at| Entry { started_at, ..entry(id, port, Healthy, 0) };
-        list.replace_all(NOW, vec![at(1, 1, one), at(2, 2, two)]).unwrap();
-        taken(&mut list);
-        list.upsert(NOW + 1, at(1, 2, one)).unwrap();
-        list.upsert(NOW + 1, at(2, 1, two)).unwrap();
+        list.replace_all(NOW, vec![at(1, 1, first_start), at(2, 2, second_start)]).unwrap();
+        take_all_changes(&mut list);
+        list.upsert(NOW + 1, at(1, 2, first_start)).unwrap();
+        list.upsert(NOW + 1, at(2, 1, second_start)).unwrap();
         assert!(list.accepts_requests("b1") && list.accepts_requests("b2"));
-        let changes = taken(&mut list);
-        let mut told = listed(&changes);
-        told.sort_by_key(|t| t.0);
+        let changes = take_all_changes(&mut list);
+        let mut sorted = summarize(&changes);
+        sorted.sort_by_key(|change| change.0);
         assert_eq!(
-            told,
+            sorted,
             [
                 ("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS)),
                 ("b2", Healthy, ReplaceBefore(ALL_CONNECTIONS))
@@ -192,60 +200,61 @@
 }
 
 #[test]
-fn of_two_restarts_in_one_portion_the_last_counts() {
+fn the_last_of_two_restarts_in_one_batch_applies() {
     let mut list = EndpointList::new(10);
     list.upsert(NOW, entry(1, 1, Healthy, 1)).unwrap();
-    taken(&mut list);
+    take_all_changes(&mut list);
     list.upsert(NOW + 1, entry(1, 1, Healthy, 2)).unwrap();
     list.upsert(NOW + 2, entry(1, 1, Healthy, 3)).unwrap();
-    let changes = taken(&mut list);
-    assert_eq!(listed(&changes), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
+    let changes = take_all_changes(&mut list);
+    assert_eq!(summarize(&changes), [("b1", Healthy, ReplaceBefore(ALL_CONNECTIONS))]);
     assert_eq!(changes[0].endpoint.started_at, NOW + 2);
     let started = |started_at, at| (Entry { started_at, ..entry(2, 2, Healthy, 0) }, at);
     for (entry, at) in [started(0, 0), started(50, 1), started(60, 2)] {
         list.upsert(NOW + at, entry).unwrap();
         if at == 0 {
-            taken(&mut list);
+            take_all_changes(&mut list);
         }
     }
-    assert_eq!(listed(&taken(&mut list)), [("b2", Healthy, ReplaceBefore(60))]);
+    assert_eq!(summarize(&take_all_changes(&mut list)), [("b2", Healthy, ReplaceBefore(60))]);
 }
 
+/// A step of a random sequence of updates.
 #[derive(Clone, Debug)]
 enum Step {
-    Put(Entry),
+    Upsert(Entry),
     Remove(u8),
     Close(u8),
-    Whole(Vec<Entry>),
-    Take(usize),
+    ReplaceAll(Vec<Entry>),
+    TakeChanges(usize),
 }
 
-fn an_entry() -> impl Strategy<Value = Entry> {
+fn any_entry() -> impl Strategy<Value = Entry> {
     (0..5u8, 1..4u16, prop::bool::ANY, 0..4u64).prop_map(|(id, port, ready, process)| {
         entry(id, port, if ready { Healthy } else { Draining }, process)
     })
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        5 => an_entry().prop_map(Step::Put),
+        5 => any_entry().prop_map(Step::Upsert),
         2 => (0..5u8).prop_map(Step::Remove),
         1 => (0..5u8).prop_map(Step::Close),
-        1 => prop::collection::btree_map(0..5u8, an_entry(), 0..5).prop_map(|m| {
+        1 => prop::collection::btree_map(0..5u8, any_entry(), 0..5).prop_map(|m| {
             let named = |(id, e): (u8, Entry)| Entry { id: format!("b{id}").into(), ..e };
-            Step::Whole(m.into_iter().map(named).collect())
+            Step::ReplaceAll(m.into_iter().map(named).collect())
         }),
-        3 => (1..3usize).prop_map(Step::Take),
+        3 => (1..3usize).prop_map(Step::TakeChanges),
     ]
 }
 
-fn check(steps: Vec<Step>) {
+fn compare_with_model(steps: Vec<Step>) {
     let (mut list, mut model) = (EndpointList::new(100), BTreeMap::<String, Entry>::new());
     let mut owner: BTreeMap<String, EndpointState> = BTreeMap::new();
     for (n, step) in steps.into_iter().enumerate() {
         let now = NOW + n as Micros;
         match step {
-            Step::Put(e) => {
+            Step::Upsert(e) => {
                 list.upsert(now, e.clone()).unwrap();
                 model.insert(e.id.to_string(), e);
             }
@@ -257,54 +266,57 @@
                 list.close(now, &format!("b{id}"));
                 model.get_mut(&format!("b{id}")).into_iter().for_each(|e| e.state = Draining);
             }
-            Step::Whole(entries) => {
+            Step::ReplaceAll(entries) => {
                 list.replace_all(now, entries.clone()).unwrap();
                 model = entries.into_iter().map(|e| (e.id.to_string(), e)).collect();
             }
-            Step::Take(most) => {
+            Step::TakeChanges(max_changes) => {
                 let mut changes = Vec::new();
-                list.take_changes(most, &mut changes);
-                for c in changes {
-                    owner.insert(c.endpoint.id.to_string(), c.endpoint.state);
+                list.take_changes(max_changes, &mut changes);
+                for change in changes {
+                    owner.insert(change.endpoint.id.to_string(), change.endpoint.state);
                 }
             }
         }
-        // An endpoint that accepts requests is listed as ready, and is the only one at its address.
-        let mut working: Vec<&Entry> = model.values().filter(|e| list.accepts_requests(&e.id)).collect();
-        assert!(working.iter().all(|e| e.state == Healthy));
-        working.sort_by_key(|e| e.address);
-        assert!(working.windows(2).all(|w| w[0].address != w[1].address), "two at one address: {working:?}");
+        // Every endpoint that accepts requests is listed as ready and is the only such endpoint at its address.
+        let mut accepting: Vec<&Entry> = model.values().filter(|e| list.accepts_requests(&e.id)).collect();
+        assert!(accepting.iter().all(|e| e.state == Healthy));
+        accepting.sort_by_key(|e| e.address);
+        assert!(
+            accepting.windows(2).all(|pair| pair[0].address != pair[1].address),
+            "two endpoints accept requests at one address: {accepting:?}"
+        );
         assert_eq!(list.entries().count(), model.len());
     }
-    for c in taken(&mut list) {
-        owner.insert(c.endpoint.id.to_string(), c.endpoint.state);
+    for change in take_all_changes(&mut list) {
+        owner.insert(change.endpoint.id.to_string(), change.endpoint.state);
     }
     for id in 0..5u8 {
         let id = format!("b{id}");
-        let told = owner.get(&id).copied().unwrap_or(Removed);
-        let alone = |e: &Entry| model.values().filter(|o| o.address == e.address).count() == 1;
+        let announced = owner.get(&id).copied().unwrap_or(Removed);
+        let is_only_claimant = |e: &Entry| model.values().filter(|o| o.address == e.address).count() == 1;
         match model.get(&id) {
-            None => assert_eq!(told, Removed),
-            Some(e) if alone(e) => assert_eq!(told, e.state, "{id}"),
-            Some(e) => assert!(told == e.state || told == Removed, "{id}"),
+            None => assert_eq!(announced, Removed),
+            Some(e) if is_only_claimant(e) => assert_eq!(announced, e.state, "{id}"),
+            Some(e) => assert!(announced == e.state || announced == Removed, "{id}"),
         }
         assert_eq!(
-            told == Healthy,
+            announced == Healthy,
             list.accepts_requests(&id),
-            "the owner knows the state that counts at the write"
+            "the announced state of {id} differs from the state checked at a write"
         );
     }
     assert!(!list.has_changes() && list.changes.pop().is_none());
     assert!(
         list.claims.values().map(Vec::len).sum::<usize>() == list.slots.len(),
-        "claims of removed endpoints"
+        "a removed endpoint has a claim"
     );
 }
 
 proptest! {
     #![proptest_config(config())]
     #[test]
-    fn the_owner_ends_up_with_the_last_reported_state(steps in prop::collection::vec(step(), 1..60)) {
-        check(steps);
+    fn the_changes_taken_by_the_owner_lead_to_the_last_reported_state(steps in prop::collection::vec(any_step(), 1..60)) {
+        compare_with_model(steps);
     }
 }
--- a/src/endpoints/mod.rs
+++ b/src/endpoints/mod.rs
@@ -1,16 +1,16 @@
-//! The one list of endpoints, out of any source: the command channel or a registry.
+//! The endpoint list, which is the same for all sources: the command channel and the registry.
 //!
-//! [`EndpointList`] decides what a change of the list means: which endpoints accept requests and since when no new
-//! one may be written to the others, which process an id stands for, which endpoint owns an address, and which
-//! connections are replaced. It has no clock and does no I/O. A source hands it whole lists and single changes;
-//! `proxy`, its owner, takes the resulting changes in portions, the urgent ones first.
+//! [`EndpointList`] decides which endpoints accept requests and since when the others accept none, which process an id
+//! refers to, which endpoint owns an address, and which connections are replaced. The list has no clock and does no I/O.
+//! A source passes in complete lists and single changes; the owner, `proxy`, takes the resulting changes in batches,
+//! urgent changes first.
 //!
 //! ```text
 //!                upsert (ready)                       upsert (draining), close
 //!  unknown ---------------------> accepts requests ------------------------------> accepts none
 //!     ^                               |  ^-------------- upsert (ready) -------------+   |
 //!     |                               |  another id claims the address: shadowed         |
-//!     +------ removal taken <---------+---- remove, replace_all without it --------------+
+//!     +------ removal taken <---------+---- remove, replace_all without the id ----------+
 //! ```
 #![cfg_attr(not(test), warn(clippy::min_ident_chars, clippy::missing_errors_doc))]
 
