--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -332,8 +332,8 @@
             Settings::fast_detection(
                 self.machines.len(),
                 &format!("{PREFIX}{ENTRIES}"),
-                log.check,
-                log.silence,
+                log.check_interval,
+                log.check_timeout,
             )
         };
         let usual = || Settings {
--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -42,15 +42,15 @@
                 false => changes.keys.iter().map(String::as_str).collect(),
             };
             if all || !keys.is_empty() {
-                log.changed(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
+                log.apply_changes(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
             }
         }
-        log.confirmed(now, documents.confirmed(), &mut actions);
+        log.update_confirmation(now, documents.confirmed(), &mut actions);
         // A floor without a cut holds old copies back as well: what is missed is covered by it.
-        Shows { revision: documents.revision(), vouched: log.vouches() }
+        Shows { revision: documents.revision(), vouched: log.is_current() }
     }
 
     fn next(&self) -> Micros {
-        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next)
+        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next_deadline)
     }
 }
--- a/crates/fleet-simulation/src/slopes/placement.rs
+++ b/crates/fleet-simulation/src/slopes/placement.rs
@@ -97,9 +97,9 @@
                 requested_changes: None,
             };
             let write = watch.time(|| {
-                if planner.wants_documents() {
+                if planner.needs_documents() {
                     let read = |n: usize| documents[n].as_deref().map(|d: &[u8]| (d, revision));
-                    planner.documents(read(0), read(1), &mut notices);
+                    planner.update_documents(read(0), read(1), &mut notices);
                 }
                 planner.step(&view, &mut notices)
             });
@@ -114,7 +114,7 @@
                     documents[1] = Some(value.clone());
                 }
             }
-            watch.time(|| planner.answered(write.id, TransactionResult::Committed(revision)));
+            watch.time(|| planner.handle_result(write.id, TransactionResult::Committed(revision)));
         }
         (watch, planner)
     }
--- a/src/cli/purge.rs
+++ b/src/cli/purge.rs
@@ -4,8 +4,8 @@
 use super::registry_client::{Client, Target};
 use super::{exit_code, fail};
 use crate::config::product::{script, Registry};
-use crate::purges::log::{append, Settings, HEAD, MOST_COVERS};
-use crate::purges::Cover;
+use crate::purges::log::{append, Settings, HEAD, MAX_ENTRY_SCOPES};
+use crate::purges::PurgeScope;
 use crate::registry::messages::{request_op, PutRequest};
 use clap::Args;
 use std::net::SocketAddr;
@@ -61,12 +61,12 @@
             "which log? Name --product FILE with purge_log(), or --endpoint ADDRESS and --prefix PREFIX",
         );
     };
-    let objects = options.objects.iter().map(|&object| Cover::Object(object));
-    let groups = options.groups.iter().map(|&group| Cover::Group(u64::from(group)));
-    let covers: Vec<Cover> = objects.chain(groups).collect();
-    if !(1..=MOST_COVERS).contains(&covers.len()) {
+    let objects = options.objects.iter().map(|&object| PurgeScope::Object(object));
+    let groups = options.groups.iter().map(|&group| PurgeScope::Group(u64::from(group)));
+    let covers: Vec<PurgeScope> = objects.chain(groups).collect();
+    if !(1..=MAX_ENTRY_SCOPES).contains(&covers.len()) {
         return fail(&format!(
-            "what is purged? Name 1 to {MOST_COVERS} objects and groups, not {}",
+            "what is purged? Name 1 to {MAX_ENTRY_SCOPES} objects and groups, not {}",
             covers.len()
         ));
     }
@@ -74,7 +74,7 @@
     let appended = Client::connect(&target.endpoints, max_message_bytes)
         .and_then(|mut client| append_entry(&mut client, &target.prefix, &covers));
     exit_code(appended.map(|Appended { number, revision }| {
-        let within_ms = settings_or_usual.staleness / 1000;
+        let within_ms = settings_or_usual.max_staleness / 1000;
         println!("purge {number} is in the log at revision {revision}; it is in force at every doorman within {within_ms} ms");
     }))
 }
@@ -85,7 +85,7 @@
     revision: i64,
 }
 
-fn append_entry(client: &mut Client, prefix: &str, covers: &[Cover]) -> Result<Appended, CommandError> {
+fn append_entry(client: &mut Client, prefix: &str, covers: &[PurgeScope]) -> Result<Appended, CommandError> {
     let head_key = format!("{prefix}{HEAD}").into_bytes();
     for _ in 0..MAX_ATTEMPTS {
         let head = client.get(&head_key)?;
--- a/src/placement/map.rs
+++ b/src/placement/map.rs
@@ -63,7 +63,7 @@
 
 /// Returns the maximum rate of warming one endpoint, in KB per second over all instances: the part `warm` of the link,
 /// but at most the endpoint's spare bandwidth.
-pub fn warm_kb_s(warm: f64, link_kb_s: f64, spare_kb_s: f64) -> f64 {
+pub fn max_warming_kb_s(warm: f64, link_kb_s: f64, spare_kb_s: f64) -> f64 {
     (warm * link_kb_s).min(spare_kb_s).max(0.0)
 }
 
@@ -142,10 +142,10 @@
         self.shards.binary_search_by_key(&start, |s| s.start).ok()
     }
 
-    /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to an
-    /// endpoint, in transfers at full rate (the instance's part of [`warm_kb_s`]).
+    /// Returns the assignments for the routing constraints. `rate` returns how much warming this instance may send to
+    /// an endpoint, in transfers at full rate (the instance's part of [`max_warming_kb_s`]).
     pub fn assignments(&self, rate: impl Fn(&Id) -> f64, lateral: bool) -> Arc<[ShardAssignment]> {
-        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), lateral };
+        let warming = |to: &Id| Warming { endpoint: to.clone(), rate: rate(to), peer_fill: lateral };
         let assignment = |shard: &Shard| ShardAssignment {
             start: shard.start,
             endpoint: shard.home.clone(),
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -10,8 +10,8 @@
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::net::protocol::command_channel::{Command, Purge};
 use crate::purges::cut_off::{Cause, CauseCounts, Evidence};
-use crate::purges::log::{Action, Figures, Notice, PurgeLog, Settings, ENTRIES, SLOTS};
-use crate::purges::Cover;
+use crate::purges::log::{Action, Counters, Notice, PurgeLog, Settings, ENTRIES, SLOTS};
+use crate::purges::PurgeScope;
 use crate::registry::documents::driver::DocumentsDriver;
 use crate::registry::documents::{FollowPhase, Settings as RegistrySettings};
 use crate::routing::events::{Event, Micros};
@@ -48,15 +48,15 @@
             ..RegistrySettings::fast_detection(
                 settings.endpoints.len(),
                 &prefix,
-                settings.check,
-                settings.silence,
+                settings.check_interval,
+                settings.check_timeout,
             )
         };
         let log = context.log.new(o!("of" => "purge log"));
         let driver =
             DocumentsDriver::new_follower(settings.endpoints.clone(), registry, seed, context.now, log);
         info!(context.log, "purge log enabled"; "prefix" => &settings.prefix,
-              "staleness_ms" => settings.staleness / MICROS_PER_MS);
+              "staleness_ms" => settings.max_staleness / MICROS_PER_MS);
         let log = PurgeLog::new(settings, propagation_time(context.settings), context.now);
         PurgeLogFollower {
             settings: settings.clone(),
@@ -87,43 +87,43 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        self.driver.next_due().min(self.log.next())
+        self.driver.next_due().min(self.log.next_deadline())
     }
 
     /// Returns whether the staleness bound is due to change without new input.
     pub fn is_reevaluation_due(&self, now: Micros) -> bool {
-        self.log.next() <= now
+        self.log.next_deadline() <= now
     }
 
     /// Returns whether all purges older than the staleness bound are known; only then may copies from the
     /// local cache be served.
     pub fn is_current(&self) -> bool {
-        self.log.vouches()
+        self.log.is_current()
     }
 
     /// Returns when the bound was last introduced or tightened.
     pub fn bound_tightened_at(&self) -> Option<Micros> {
-        self.log.tightened()
+        self.log.bound_tightened_at()
     }
 
     /// Returns the time before which all copies are void.
     pub fn void_before(&self) -> Option<Micros> {
-        self.log.floor()
+        self.log.void_before()
     }
 
     /// Returns names and values for the admin endpoint.
     pub fn metrics(&self, now: Micros) -> [(&'static str, u64); 11] {
-        let Figures { entries, missed, unusable, cut_offs } = self.log.figures();
+        let Counters { entries, missed, unusable, cut_offs } = self.log.counters();
         let age = self.driver.confirmed().map_or(now, |confirmed| now.saturating_sub(confirmed));
         [
-            ("purge_log_number", self.log.number()),
+            ("purge_log_number", self.log.last_number()),
             ("purge_log_age_ms", age / MICROS_PER_MS),
-            ("purge_log_cut_off", u64::from(!self.log.vouches())),
+            ("purge_log_cut_off", u64::from(!self.log.is_current())),
             ("purge_log_entries_total", entries),
             ("purge_log_missed_total", missed),
             ("purge_log_unusable_total", unusable),
             ("purge_log_cut_offs_total", cut_offs),
-            ("purge_log_cut_offs_late_turn_total", self.cut_off_causes.get(Cause::LateTurn)),
+            ("purge_log_cut_offs_late_turn_total", self.cut_off_causes.get(Cause::InstanceStalled)),
             ("purge_log_cut_offs_check_unanswered_total", self.cut_off_causes.get(Cause::CheckUnanswered)),
             ("purge_log_cut_offs_disconnected_total", self.cut_off_causes.get(Cause::Disconnected)),
             ("purge_log_cut_offs_confirmed_late_total", self.cut_off_causes.get(Cause::ConfirmedLate)),
@@ -138,18 +138,18 @@
     /// Runs one turn and returns the actions to perform.
     pub fn turn(&mut self, context: &FleetContext) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.log.lingers(propagation_time(context.settings));
+        self.log.set_propagation_time(propagation_time(context.settings));
         if self.driver.revision() > 0 {
             self.take_changes(context, &mut actions);
         }
         let evidence = Evidence {
             now: context.now,
-            judgement_due: self.log.next(),
+            staleness_deadline: self.log.next_deadline(),
             confirmed: self.driver.confirmed(),
             phase: self.driver.phase(),
         };
-        self.log.confirmed(context.now, evidence.confirmed, &mut actions);
-        if actions.contains(&Action::Say(Notice::CutOff)) {
+        self.log.update_confirmation(context.now, evidence.confirmed, &mut actions);
+        if actions.contains(&Action::Notify(Notice::CutOff)) {
             self.record_cut_off(&evidence, context.log);
         }
         actions
@@ -161,7 +161,7 @@
         self.cut_off_causes.add(cause);
         let age = |moment: Micros| evidence.now.saturating_sub(moment) / MICROS_PER_MS;
         info!(log, "purge log cut-off explained"; "cause" => cause.name(), "registry" => ?evidence.phase,
-        "confirmed_ms_ago" => evidence.confirmed.map(age), "judged_late_ms" => age(evidence.judgement_due),
+        "confirmed_ms_ago" => evidence.confirmed.map(age), "judged_late_ms" => age(evidence.staleness_deadline),
         "check_sent_ms_ago" => match evidence.phase {
             FollowPhase::Checking { sent } => Some(age(sent)),
             _ => None,
@@ -180,7 +180,7 @@
         if rereads_all || !keys.is_empty() {
             let value = |key: &str| driver.get(key).map(|document| document.value.as_slice());
             let entries = keys.into_iter().map(|key| (key, value(key)));
-            self.log.changed(context.now, context.unix_ms, entries, actions);
+            self.log.apply_changes(context.now, context.unix_ms, entries, actions);
         }
     }
 }
@@ -189,16 +189,16 @@
     /// Performs an action of the purge log.
     pub(super) fn execute_purge_log_action(&mut self, action: Action) {
         match action {
-            Action::Purge(Cover::Object(object), when_ms) => {
+            Action::Purge(PurgeScope::Object(object), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Object(object), when_ms });
             }
-            Action::Purge(Cover::Group(group), when_ms) => {
+            Action::Purge(PurgeScope::Group(group), when_ms) => {
                 self.execute(Command::Purge { what: Purge::Group(group), when_ms });
             }
             Action::Purge(..) => invariant!(false, "a purge from the log covers an object or a group"),
-            Action::Bound(age) => self.events.push_back(Event::BoundedStaleness(age)),
-            Action::VoidOwn => self.local_cache.clear(),
-            Action::Say(notice) => self.log_purge_log_notice(notice),
+            Action::SetStalenessBound(age) => self.events.push_back(Event::BoundedStaleness(age)),
+            Action::ClearLocalCache => self.local_cache.clear(),
+            Action::Notify(notice) => self.log_purge_log_notice(notice),
         }
     }
 
@@ -209,13 +209,13 @@
                 warn!(log, "purge log cut off: only copies younger than the staleness bound are accepted";
                       "remedy" => "the registry is dialed again; check that the endpoints of purge_log() are reachable from this instance");
             }
-            Notice::Vouched { after } => info!(log, "purge log current"; "after_ms" => after / MICROS_PER_MS),
+            Notice::Current { after } => info!(log, "purge log current"; "after_ms" => after / MICROS_PER_MS),
             Notice::Missed { from, to, void } => {
                 warn!(log, "purge log entries overwritten before they were read";
                       "from" => from, "to" => to, "all_void" => void,
                       "remedy" => "if all_void is true, purges are written faster than the ring can hold: put several into one entry");
             }
-            Notice::WentBack { known, there } => {
+            Notice::Rewritten { known, written: there } => {
                 warn!(log, "purge log numbers went back, all copies are void"; "known" => known, "there" => there,
                       "remedy" => "check which program writes there; start a new log only below another prefix");
             }
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -13,11 +13,11 @@
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::placement::follow::{Follower, MapUpdate};
 use crate::placement::load::Work;
-use crate::placement::map::{warm_kb_s, ShardMap};
+use crate::placement::map::{max_warming_kb_s, ShardMap};
 use crate::placement::planner::{
     map_key, moves_key, Notice, Planner, PlannerInput, Transaction as PlannerTransaction, TransactionResult,
 };
-use crate::placement::quiet::{Calendar, AHEAD_MS};
+use crate::placement::quiet::{Calendar, LOOKAHEAD_MS};
 use crate::placement::rebalance::EndpointCapacity;
 use crate::placement::snapshot::{self, SnapshotWriter};
 use crate::placement::Settings;
@@ -345,7 +345,7 @@
             TransactionResult::Rejected | TransactionResult::Unknown => self.rejected_steps += 1,
         }
         if let Some(zone_planner) = self.planners.get_mut(&zone) {
-            zone_planner.planner.answered(step, result);
+            zone_planner.planner.handle_result(step, result);
         }
     }
 
@@ -419,7 +419,7 @@
                 .iter()
                 .find(|capacity| capacity.id == *cache)
                 .map_or(0.0, |capacity| capacity.spare_kb_s);
-            warm_kb_s(self.settings.warm, link_kb_s, spare_kb_s)
+            max_warming_kb_s(self.settings.warm, link_kb_s, spare_kb_s)
                 / settings.transfer_rate_kb_s.max(1.0)
                 / processes
         };
@@ -502,10 +502,10 @@
         fence: Option<i64>,
         notices: &mut Vec<Notice>,
     ) {
-        if fence.is_some() && self.driver.is_current(context.now) && planner.wants_documents() {
+        if fence.is_some() && self.driver.is_current(context.now) && planner.needs_documents() {
             let document = |key: &str| self.driver.get(key).map(|d| (d.value.as_slice(), d.mod_revision));
             let (map, moves) = (map_key("", zone as u16), moves_key("", zone as u16));
-            planner.documents(document(&map), document(&moves), notices);
+            planner.update_documents(document(&map), document(&moves), notices);
         }
     }
 
@@ -528,7 +528,7 @@
         let last = zone_planner.last_forecast;
         if forecast.is_idle() && last.is_none_or(|at| context.now >= at + self.forecast_interval) {
             zone_planner.last_forecast = Some(context.now);
-            let until_ms = context.unix_ms.saturating_add(AHEAD_MS);
+            let until_ms = context.unix_ms.saturating_add(LOOKAHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
             let counts = self
@@ -536,7 +536,7 @@
                 .with_prefix(&Work::key_prefix(name))
                 .map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
-            let warming_kb_s = warm_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
+            let warming_kb_s = max_warming_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
                 warn!(context.log, "split schedule rejected"; "zone" => name, "error" => %error);
             }
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -10,7 +10,7 @@
 use larchdale::placement::load::Work;
 use larchdale::placement::map::{Shard, ShardMap};
 use larchdale::placement::moves::{Change, Move, Moves, RestingShard, Step};
-use larchdale::purges::{log, Cover};
+use larchdale::purges::{log, PurgeScope};
 use larchdale::registry::answers::{Decoder, KeyEntry};
 use larchdale::registry::record::{EndpointRecord, Names, State};
 use larchdale::registry::session::SavedList;
@@ -188,11 +188,11 @@
     work.add(0x91f0_3b7c_55d2_0a64, 1_500_000.0);
     let bytes = same_as_stored("stored/load.hex", &work.close(NOW_UNIX_MS + 2_000));
     let read = |now_ms| Work::merged(std::iter::once(bytes.as_slice()), now_ms);
-    assert_eq!(read(NOW_UNIX_MS + 3_000).of(0, u64::MAX), 2_250_000.0);
+    assert_eq!(read(NOW_UNIX_MS + 3_000).in_range(0, u64::MAX), 2_250_000.0);
     let at = placement::position(0x7f3a_9c21_e0b4_d655) >> 54 << 54;
-    assert_eq!(read(NOW_UNIX_MS + 3_000).of(at, at | ((1 << 54) - 1)), 1_500_000.0);
+    assert_eq!(read(NOW_UNIX_MS + 3_000).in_range(at, at | ((1 << 54) - 1)), 1_500_000.0);
     let two_days_ms = 2 * 86_400_000;
-    assert_eq!(read(NOW_UNIX_MS + 2_000 + two_days_ms).of(0, u64::MAX), 0.0, "its time is read");
+    assert_eq!(read(NOW_UNIX_MS + 2_000 + two_days_ms).in_range(0, u64::MAX), 0.0, "its time is read");
     assert_eq!(Work::key("branch", "door-1"), "load/branch/door-1");
 }
 
@@ -228,8 +228,8 @@
     use growth::splits::{Scheduler, Split};
     let windows = [(NOW_UNIX_MS + 1, NOW_UNIX_MS + 2), (NOW_UNIX_MS + 11, NOW_UNIX_MS + 12)];
     let splits = [
-        Split { start: 5, middle: 1 << 40, window: windows[0], full: NOW_UNIX_MS + 3 },
-        Split { start: 1 << 41, middle: 1 << 63, window: windows[1], full: NOW_UNIX_MS + 13 },
+        Split { start: 5, middle: 1 << 40, window: windows[0], full_at_ms: NOW_UNIX_MS + 3 },
+        Split { start: 1 << 41, middle: 1 << 63, window: windows[1], full_at_ms: NOW_UNIX_MS + 13 },
     ];
     // Format, checksum and the entries, as `Scheduler::encode` writes them.
     let content = postcard::to_stdvec(&splits.to_vec()).unwrap();
@@ -247,34 +247,34 @@
 #[test]
 fn the_entries_and_the_head_of_the_purge_log() {
     let covers = vec![
-        Cover::Object(0x7f3a_9c21_e0b4_d655),
-        Cover::Group(17),
-        Cover::Tag("news".into()),
-        Cover::Pattern("clips/*".into()),
+        PurgeScope::Object(0x7f3a_9c21_e0b4_d655),
+        PurgeScope::Group(17),
+        PurgeScope::Tag("news".into()),
+        PurgeScope::Pattern("clips/*".into()),
     ];
-    let (first, [(head_key, head), _]) = log::append(None, NOW_UNIX_MS, vec![Cover::Group(5)]).unwrap();
+    let (first, [(head_key, head), _]) = log::append(None, NOW_UNIX_MS, vec![PurgeScope::Group(5)]).unwrap();
     assert_eq!((first.number, head_key.as_str()), (1, "head"));
     let head = same_as_stored("stored/purge-log-head-1.hex", &head);
     // The head is read: the number goes on, and the moment does not go back.
     let (entry, writes) = log::append(Some(&head), NOW_UNIX_MS - 9, covers.clone()).unwrap();
-    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, covers: covers.clone() });
+    assert_eq!(entry, log::Entry { number: 2, when_ms: NOW_UNIX_MS, scopes: covers.clone() });
     let [(_, head), (entry_key, entry)] = writes;
     same_as_stored("stored/purge-log-head-2.hex", &head);
     let entry = same_as_stored("stored/purge-log-entry-2.hex", &entry);
     assert_eq!(entry_key, "log/0002");
-    assert_eq!((log::ENTRIES, log::HEAD, log::slot(1_031)), ("log/", "head", "0007".to_owned()));
+    assert_eq!((log::ENTRIES, log::HEAD, log::slot_key(1_031)), ("log/", "head", "0007".to_owned()));
 
     let settings = log::Settings::new(Vec::new(), "/larchdale/purges/");
     let mut followed = log::PurgeLog::new(&settings, 6_000_000, 10_000_000);
     let mut actions = Vec::new();
-    followed.changed(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
-    assert_eq!((followed.number(), followed.figures().unusable), (2, 0));
-    let when_ms = NOW_UNIX_MS + settings.skew / 1_000;
+    followed.apply_changes(10_000_000, NOW_UNIX_MS + 1, [("0002", Some(entry.as_slice()))], &mut actions);
+    assert_eq!((followed.last_number(), followed.counters().unusable), (2, 0));
+    let when_ms = NOW_UNIX_MS + settings.max_clock_skew / 1_000;
     for cover in &covers[..2] {
         assert!(actions.contains(&log::Action::Purge(cover.clone(), when_ms)), "{actions:?}");
     }
     // Tag and pattern can't be resolved by an instance: each voids its own copies, beside the number that is missing.
-    assert_eq!(actions.iter().filter(|a| **a == log::Action::VoidOwn).count(), 3);
+    assert_eq!(actions.iter().filter(|a| **a == log::Action::ClearLocalCache).count(), 3);
 }
 
 // ---- one process after another ----
