--- a/crates/fleet-simulation/src/follow/mod.rs
+++ b/crates/fleet-simulation/src/follow/mod.rs
@@ -329,7 +329,7 @@
         let seed = self.seed ^ now << 20 ^ instance as u64;
         let prompt = || {
             let log = settings();
-            Settings::prompt(
+            Settings::fast_detection(
                 self.machines.len(),
                 &format!("{PREFIX}{ENTRIES}"),
                 log.check_interval,
@@ -337,10 +337,10 @@
             )
         };
         let usual = || Settings {
-            check: self.spec.check_ms * 1_000,
-            answer: self.spec.answer_ms * 1_000,
-            silence: self.spec.silence_ms * 1_000,
-            page: self.spec.page as i64,
+            check_interval: self.spec.check_ms * 1_000,
+            answer_timeout: self.spec.answer_ms * 1_000,
+            check_timeout: self.spec.silence_ms * 1_000,
+            page_size: self.spec.page as i64,
             ..Settings::new(self.machines.len(), PREFIX)
         };
         let settings = if self.spec.purge_log { prompt() } else { usual() };
@@ -385,7 +385,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         what(&mut d.documents, now, &mut actions);
         let shows = d.reader.turn(now, &mut d.documents);
-        let next = d.documents.next().min(d.reader.next());
+        let next = d.documents.next_due().min(d.reader.next());
         if shows.revision != d.revision {
             d.revision = shows.revision;
             self.shown[instance].steps.push(Step { at: now, revision: shows.revision });
--- a/src/proxy/rebalancing.rs
+++ b/src/proxy/rebalancing.rs
@@ -117,7 +117,7 @@
         context.now,
         context.log.clone(),
     );
-    driver.campaign(true);
+    driver.set_campaigning(true);
     driver
 }
 
@@ -255,7 +255,7 @@
         } else {
             self.last_step + STEP_INTERVAL
         };
-        self.driver.next().min(own)
+        self.driver.next_due().min(own)
     }
 
     /// Returns names and values for the admin endpoint.
@@ -394,7 +394,7 @@
             let (Some(forecast), Some(name)) = (&mut planner.forecast, names.get(*zone)) else { continue };
             let prefix = GrowthPlanner::key_prefix(name);
             let listed: Vec<String> = if changes.all {
-                self.driver.below(&prefix).map(|(key, _)| key.to_owned()).collect()
+                self.driver.with_prefix(&prefix).map(|(key, _)| key.to_owned()).collect()
             } else {
                 Vec::new()
             };
@@ -531,8 +531,10 @@
             let until_ms = context.unix_ms.saturating_add(LOOKAHEAD_MS);
             let windows = self.calendar.windows(name, context.unix_ms, until_ms);
             let schedule = self.driver.get(&schedule_key).map(|document| document.value.as_slice());
-            let counts =
-                self.driver.below(&Work::key_prefix(name)).map(|(_, document)| document.value.as_slice());
+            let counts = self
+                .driver
+                .with_prefix(&Work::key_prefix(name))
+                .map(|(_, document)| document.value.as_slice());
             let work = Work::merged(counts, context.unix_ms);
             let warming_kb_s = max_warming_kb_s(self.settings.warm, link_kb_s, f64::INFINITY);
             if let Err(error) = forecast.begin(&map, caches, &windows, warming_kb_s, &work, schedule) {
@@ -542,7 +544,7 @@
         ForecastWrites {
             schedule: forecast.schedule().map(|value| (schedule_key, value)),
             compaction: forecast
-                .compaction(self.driver.below(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
+                .compaction(self.driver.with_prefix(&GrowthPlanner::key_prefix(name)).map(|(key, _)| key)),
         }
     }
 
