--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -1,13 +1,13 @@
 //! The settings of a script as JSON, for `larchdale check`.
 
-use super::{Product, Registry, MICROS_PER_MS};
+use super::{Product, RegistrySettings, MICROS_PER_MS};
 use crate::{failover, growth, placement, purges};
 use serde_json::{json, Value};
 
-/// Kilobytes in a megabyte, as the script counts them.
+/// Kilobytes in one megabyte of the script's `_mb` arguments.
 const KB_PER_MB: f64 = 1000.0;
 
-/// What a script sets, as JSON.
+/// Returns the settings of a script as JSON.
 pub fn describe(product: &Product) -> Value {
     json!({
         "registry": product.registry.as_ref().map(describe_registry),
@@ -19,21 +19,21 @@
     })
 }
 
-fn describe_registry(registry: &Registry) -> Value {
+fn describe_registry(registry: &RegistrySettings) -> Value {
     json!({
         "endpoints": registry.endpoints,
         "prefix": registry.prefix,
         "page": registry.page,
-        "most_keys": registry.most_keys,
-        "most_value_bytes": registry.most_value,
-        "most_message_bytes": registry.most_message,
-        "dial_ms": registry.dial / MICROS_PER_MS,
-        "answer_ms": registry.answer / MICROS_PER_MS,
-        "check_ms": registry.check / MICROS_PER_MS,
-        "silence_ms": registry.silence / MICROS_PER_MS,
-        "spread_ms": registry.spread / MICROS_PER_MS,
-        "longest_pause_ms": registry.longest_pause / MICROS_PER_MS,
-        "restored_ms": registry.restored / MICROS_PER_MS,
+        "most_keys": registry.max_keys,
+        "most_value_bytes": registry.max_value_bytes,
+        "most_message_bytes": registry.max_message_bytes,
+        "dial_ms": registry.dial_timeout / MICROS_PER_MS,
+        "answer_ms": registry.answer_timeout / MICROS_PER_MS,
+        "check_ms": registry.check_interval / MICROS_PER_MS,
+        "silence_ms": registry.check_timeout / MICROS_PER_MS,
+        "spread_ms": registry.retry_spread / MICROS_PER_MS,
+        "longest_pause_ms": registry.max_retry_pause / MICROS_PER_MS,
+        "restored_ms": registry.restore_confirmation / MICROS_PER_MS,
         "snapshot": registry.snapshot,
     })
 }
--- a/src/net/bounds.rs
+++ b/src/net/bounds.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::admin::PLACES;
+use crate::admin::MAX_CONNECTIONS;
 use crate::config::platform::Limits;
 
 /// Descriptors reserved for everything besides client and upstream connections: the standard streams, the poll, the
@@ -11,7 +11,7 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Descriptors reserved additionally if there is an admin endpoint: its listener, its connections, one more that is
 /// just being accepted; and for a takeover: a listener, two connections to it, and the connection to the predecessor.
-const ADMIN_DESCRIPTORS: usize = PLACES + 6;
+const ADMIN_DESCRIPTORS: usize = MAX_CONNECTIONS + 6;
 /// Divisor of the descriptors for upstream connections. Well-behaved clients use a third of the descriptors at most.
 const UPSTREAM_DIVISOR: usize = 3;
 /// Divisor of the client connections for those that never sent a complete message.
--- a/src/registry/session/mod.rs
+++ b/src/registry/session/mod.rs
@@ -37,7 +37,7 @@
 use super::connection::position::Position;
 use super::connection::{Connection, ConnectionState, LostPhase};
 use super::status::Status;
-use crate::config::product::Registry as Settings;
+use crate::config::product::RegistrySettings as Settings;
 use crate::routing::events::Micros;
 use dial_budget::DialBudget;
 use endpoint_table::{EndpointTable, Source};
@@ -146,7 +146,7 @@
 
     /// Returns when [`tick`](Self::tick) has something to do, even if no other input arrives.
     pub fn next_due(&self) -> Micros {
-        self.state.due(self.settings.silence)
+        self.state.due(self.settings.check_timeout)
     }
 
     /// Removes and returns up to `max_updates` pending updates of the list of endpoints, oldest first.
@@ -262,8 +262,8 @@
     }
 
     fn dial(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.dial_budget.take(now, self.settings.longest_pause) {
-            let pause = self.settings.longest_pause / 2;
+        if !self.dial_budget.take(now, self.settings.max_retry_pause) {
+            let pause = self.settings.max_retry_pause / 2;
             let until = now + pause / 2 + self.rng.random_range(0..=pause);
             self.state = State::Backoff { until };
             return;
@@ -274,7 +274,7 @@
         };
         self.counters.dials += 1;
         let connection = Connection { id: self.next_number(), endpoint };
-        self.state = State::Dialing { connection, until: now + self.settings.dial };
+        self.state = State::Dialing { connection, until: now + self.settings.dial_timeout };
         actions.push(Action::Dial { connection: connection.id, endpoint });
     }
 
@@ -288,7 +288,8 @@
     fn give_up(&mut self, now: Micros, reason: DisconnectReason, actions: &mut Vec<Action>) {
         let Some(Connection { endpoint, .. }) = self.disconnect(actions) else { return };
         self.counters.lost += 1;
-        let pauses = RetryPauses { spread: self.settings.spread, longest: self.settings.longest_pause };
+        let pauses =
+            RetryPauses { spread: self.settings.retry_spread, longest: self.settings.max_retry_pause };
         let pause = match reason {
             DisconnectReason::TooManyKeys => pauses.longest,
             DisconnectReason::TimedOut => {
