--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::startup::Cause;
 use crate::net::clock::Clock;
 use crate::net::event_loop::{EventLoop, SignalFlags};
-use crate::net::startup::{cause, persist};
+use crate::net::startup::{cause, retry_step};
 use crate::proxy::{Proxy, Startup};
 use slog::{info, o, Drain, Level, Logger};
 use slog_async::{AsyncGuard, OverflowStrategy};
@@ -64,7 +64,7 @@
     let is_cancelled = || flags.is_shutdown_requested();
     let report = |e: &io::Error| eprintln!("larchdale: can't start yet: {e}; trying again");
     // Both are one step, because the descriptors must suffice for the event loop and the file at the same time.
-    persist(clock, &is_cancelled, &report, || {
+    retry_step(clock, &is_cancelled, &report, || {
         let event_loop = EventLoop::with(flags.clone())?;
         match Config::from_env() {
             Err(ConfigError::Unreadable(_, e)) if cause(&e) == Cause::Resource => Err(e),
--- a/src/proxy/command_channel.rs
+++ b/src/proxy/command_channel.rs
@@ -10,7 +10,7 @@
 use crate::net::command_channel::{Failure, FrameOutcome};
 use crate::net::connection::Connection;
 use crate::net::event_loop::Ready;
-use crate::net::protocol::command_channel::{decode, Command, Numbered, Purge};
+use crate::net::protocol::command_channel::{decode, Command, NumberedCommand, Purge};
 use crate::routing::events::{Event, Micros};
 use slog::{debug, warn};
 
@@ -42,7 +42,7 @@
         for numbered in received.messages {
             if !self.apply_command(numbered) {
                 // The messages after the gap are discarded, because they are sent again as well.
-                self.discovery.command_channel.ask_again(self.now);
+                self.discovery.command_channel.reconnect_after_gap(self.now);
                 return self.run_command_channel();
             }
         }
@@ -60,9 +60,9 @@
 
     /// Executes a command unless it was executed before. Returns `false` if events before it are missing, so
     /// that it must be sent again.
-    fn apply_command(&mut self, numbered: Numbered) -> bool {
+    fn apply_command(&mut self, numbered: NumberedCommand) -> bool {
         let cursor = self.discovery.command_channel.cursor();
-        let outcome = self.discovery.command_channel.take_frame(self.now, &numbered);
+        let outcome = self.discovery.command_channel.handle_frame(self.now, &numbered);
         let (number, command) = numbered;
         let channel = &self.discovery.command_channel;
         match outcome {
@@ -103,7 +103,7 @@
     /// Closes a failed connection, dials if a dial is due, and sets the timer for the next check.
     pub(super) fn run_command_channel(&mut self) {
         self.close_dead_command_channel();
-        if self.discovery.command_channel.wants_dial(self.now) {
+        if self.discovery.command_channel.should_dial(self.now) {
             self.dial_command_channel();
         }
         self.schedule_command_channel();
@@ -154,15 +154,15 @@
             // With a registry the channel's endpoint list is ignored, because two sources would undo each
             // other's drains.
             Command::Endpoints { .. } if self.discovery.has_registry() => {}
-            Command::Endpoints { whole, records } => self.apply_endpoints(whole, records),
-            Command::Purge { what, when_ms } => self.purge(what, when_ms),
+            Command::Endpoints { complete, records } => self.apply_endpoints(complete, records),
+            Command::Purge { scope, when_ms } => self.purge(scope, when_ms),
         }
     }
 
     /// Applies a purge that was made at `made_unix_ms`, by the clock of its sender, to the local cache and
     /// the router.
     fn purge(&mut self, scope: Purge, made_unix_ms: u64) {
-        let age = self.now - self.timestamps.event(self.now, made_unix_ms);
+        let age = self.now - self.timestamps.event_time(self.now, made_unix_ms);
         debug!(self.log, "purge"; "scope" => ?scope, "age_ms" => age / MILLISECOND);
         self.purges.add(self.now, scope, made_unix_ms);
         self.purge_local_cache(scope);
--- a/src/proxy/draining.rs
+++ b/src/proxy/draining.rs
@@ -24,7 +24,7 @@
         }
         debug!(self.log, "lifecycle phase changed"; "is" => ?phase, "was" => ?phase_before,
                "open" => self.requests.len());
-        if self.lifecycle.takes_clients() {
+        if self.lifecycle.is_serving() {
             self.begin_serving();
         }
         if self.lifecycle.phase() == Phase::Replaced {
@@ -33,7 +33,7 @@
         if self.lifecycle.accepts_connections() && !accepted_before {
             self.accept();
         }
-        if self.lifecycle.sends_clients_away() {
+        if self.lifecycle.sends_going_away() {
             for token in self.clients.tokens() {
                 self.send_going_away(token);
             }
@@ -48,7 +48,7 @@
             return;
         }
         client.has_sent_going_away = true;
-        client.conn.queue(frames::encode_leaving());
+        client.conn.queue(frames::encode_going_away());
         client.conn.flush(self.now);
         self.after_client_write(token);
     }
@@ -60,7 +60,7 @@
         let longest_deadline = self.classes.longest_deadline();
         // A second shutdown signal has no effect.
         let _ = self.advance_lifecycle(Event::Terminate { longest_deadline });
-        if let Some(at) = self.lifecycle.last_answer_at() {
+        if let Some(at) = self.lifecycle.drain_deadline() {
             self.timers.set(at, TimerEvent::DrainDeadline);
         }
     }
@@ -98,7 +98,7 @@
             self.finish_client(token);
         }
         self.process_events();
-        let deadline = self.lifecycle.closed_by(self.now);
+        let deadline = self.lifecycle.exit_deadline(self.now);
         self.timers.set(deadline, TimerEvent::DrainDeadline);
         while !self.clients.is_empty() && self.now < deadline {
             self.turn()?;
@@ -119,6 +119,6 @@
             incoming: !self.unfinished_reads.is_empty() || has_partial,
             clients: self.clients.values().any(|client| client.conn.is_open()),
         };
-        self.lifecycle.is_over(self.now, open)
+        self.lifecycle.may_exit(self.now, open)
     }
 }
--- a/src/proxy/purge_log.rs
+++ b/src/proxy/purge_log.rs
@@ -43,9 +43,9 @@
     pub fn new(settings: &Settings, seed: u64, context: &FleetContext) -> Self {
         let prefix = format!("{}{ENTRIES}", settings.prefix);
         let registry = RegistrySettings {
-            most_keys: 2 * SLOTS as usize,
-            most_bytes: MAX_ENTRY_BYTES,
-            ..RegistrySettings::prompt(
+            max_keys: 2 * SLOTS as usize,
+            max_bytes: MAX_ENTRY_BYTES,
+            ..RegistrySettings::fast_detection(
                 settings.endpoints.len(),
                 &prefix,
                 settings.check_interval,
@@ -53,7 +53,8 @@
             )
         };
         let log = context.log.new(o!("of" => "purge log"));
-        let driver = DocumentsDriver::following(settings.endpoints.clone(), registry, seed, context.now, log);
+        let driver =
+            DocumentsDriver::new_follower(settings.endpoints.clone(), registry, seed, context.now, log);
         info!(context.log, "purge log enabled"; "prefix" => &settings.prefix,
               "staleness_ms" => settings.max_staleness / MICROS_PER_MS);
         let log = PurgeLog::new(settings, propagation_time(context.settings), context.now);
@@ -86,7 +87,7 @@
         if self.driver.wants_turn() {
             return 0;
         }
-        self.driver.next().min(self.log.next_deadline())
+        self.driver.next_due().min(self.log.next_deadline())
     }
 
     /// Returns whether the staleness bound is due to change without new input.
@@ -172,7 +173,7 @@
         let driver = &self.driver;
         let rereads_all = changes.all || !std::mem::replace(&mut self.has_been_read, true);
         let keys: Vec<&str> = if rereads_all {
-            driver.below("").map(|(key, _)| key).collect()
+            driver.with_prefix("").map(|(key, _)| key).collect()
         } else {
             changes.keys.iter().map(String::as_str).collect()
         };
@@ -189,10 +190,10 @@
     pub(super) fn execute_purge_log_action(&mut self, action: Action) {
         match action {
             Action::Purge(PurgeScope::Object(object), when_ms) => {
-                self.execute(Command::Purge { what: Purge::Object(object), when_ms });
+                self.execute(Command::Purge { scope: Purge::Object(object), when_ms });
             }
             Action::Purge(PurgeScope::Group(group), when_ms) => {
-                self.execute(Command::Purge { what: Purge::Group(group), when_ms });
+                self.execute(Command::Purge { scope: Purge::Group(group), when_ms });
             }
             Action::Purge(..) => invariant!(false, "a purge from the log covers an object or a group"),
             Action::SetStalenessBound(age) => self.events.push_back(Event::BoundedStaleness(age)),
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -24,7 +24,7 @@
 use crate::net::clock::Clock;
 use crate::net::event_loop::{EventLoop, SignalFlags, Timers};
 use crate::net::pool::Pool;
-use crate::net::startup::persist;
+use crate::net::startup::retry_step;
 use crate::registry::driver::Driver;
 use crate::registry::record::Names;
 use crate::routing::events::{Event, Micros};
@@ -73,7 +73,7 @@
     fn run<T>(&self, step: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         let is_shutdown_requested = || self.flags.is_shutdown_requested();
         let report = |error: &io::Error| warn!(self.log, "can't start yet, trying again"; "error" => %error);
-        persist(self.clock, &is_shutdown_requested, &report, step)
+        retry_step(self.clock, &is_shutdown_requested, &report, step)
     }
 }
 
@@ -161,7 +161,7 @@
         classes.apply(now, &config.settings);
         let is_shared = takeover.as_ref().is_some_and(Takeover::has_other_process);
         let router = Router::new(classes.for_router(&config.settings, is_shared), config.seed);
-        let bounds = Bounds::of(&config.limits, admin.is_some(), is_shared);
+        let bounds = Bounds::from_limits(&config.limits, admin.is_some(), is_shared);
         let multiplex = config.settings.limits.multiplex;
         Proxy {
             log,
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -28,7 +28,7 @@
     assert!(
         2 * half.client_buffers <= alone.client_buffers && 2 * half.request_bodies <= alone.request_bodies
     );
-    assert!(w.proxy.lifecycle.takes_clients(), "until the other one does");
+    assert!(w.proxy.lifecycle.is_serving(), "until the other one does");
     drop(successor);
     w.until("its end", |d| (!d.has_other_process()).then_some(()));
     assert_eq!((processes(), w.proxy.bounds), (Some(1), alone));
@@ -85,7 +85,7 @@
     old.proxy.takeover = Some(Takeover::new(files(), None, false, &mut old.proxy.event_loop));
     old.proxy.begin_serving();
     let when_ms = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis() as u64;
-    old.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms });
+    old.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms });
     old.skip(3_000 * MILLISECOND);
     let (asking, log) = (files(), old.proxy.log.clone());
     let asks = std::thread::spawn(move || predecessor::find(&asking, &log).unwrap());
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -82,7 +82,7 @@
         let mut next = f.knock();
         next.write_all(&f.hello()).unwrap();
         f.offered(&mut next);
-        assert!(f.w.proxy.has_other_process() && f.w.proxy.lifecycle.takes_clients());
+        assert!(f.w.proxy.has_other_process() && f.w.proxy.lifecycle.is_serving());
         // By the new name the one after it hears that it is one too many.
         let mut third = f.knock();
         third.write_all(&f.hello()).unwrap();
@@ -110,7 +110,7 @@
     drop(next);
     f.w.until("its end", |d| (!d.has_other_process()).then_some(()));
     assert!(
-        f.w.proxy.lifecycle.takes_clients()
+        f.w.proxy.lifecycle.is_serving()
             && f.w.proxy.lifecycle.accepts_connections()
             && f.w.proxy.bounds != half
     );
@@ -159,7 +159,7 @@
     let mut slow = f.w.client();
     slow.put(&bytes[..20]);
     f.w.until("half a request", |d| d.clients.values().any(|c| c.conn.has_partial_message()).then_some(()));
-    let half = Bounds::of(&f.w.proxy.configuration.limits, true, true).clients;
+    let half = Bounds::from_limits(&f.w.proxy.configuration.limits, true, true).clients;
     let mut others: Vec<Peer> = (0..half).map(|_| f.w.client()).collect();
     for other in &mut others {
         other.put(&frame(1, 5, &[0]));
@@ -489,7 +489,7 @@
                 }
             }),
             Step::Purge => {
-                self.w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
+                self.w.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms: 1 });
                 self.w.proxy.process_events();
             }
             Step::List { healthy } if self.w.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
@@ -616,7 +616,7 @@
         let token = *d.pool.iter().find(|l| l.1.in_flight.contains_key(&id)).unwrap().0;
         let link = d.pool.get_mut(token).unwrap();
         assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "never broke");
-        d.handle_ready(Ready { token, readable: true, writable: false, ended: true });
+        d.handle_ready(Ready { token, readable: true, writable: false, read_closed: true });
         storm.note();
         storm.turn();
         storm.clients.clear();
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -27,8 +27,8 @@
     /// Takes what its one client did before all else that the poll may tell of.
     fn hear_client(&mut self) {
         self.brought();
-        let (token, readable, writable, ended) = (self.only_client(), true, false, false);
-        self.proxy.handle_ready(Ready { token, readable, writable, ended });
+        let (token, readable, writable, read_closed) = (self.only_client(), true, false, false);
+        self.proxy.handle_ready(Ready { token, readable, writable, read_closed });
     }
 
     /// Time passes before the next turn.
@@ -369,7 +369,7 @@
     let (mut client, mut cache, _) = w.asked();
     w.proxy.shut_down();
     assert_eq!(w.frame(&mut client).0, 3);
-    let last = w.proxy.lifecycle.last_answer_at().unwrap();
+    let last = w.proxy.lifecycle.drain_deadline().unwrap();
     w.skip(last - w.proxy.now);
     assert_eq!(w.frame(&mut client), (8, 1, vec![51, 0]));
     assert_eq!(w.command(&mut cache)[0], "never_mind");
