--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -38,7 +38,7 @@
 pub enum InvalidCall {
     /// There is no call of this name.
     Unknown,
-    /// The line is longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than the longest allowed one.
     TooLong,
 }
 
