--- a/crates/test-support/src/registry/chaos.rs
+++ b/crates/test-support/src/registry/chaos.rs
@@ -154,7 +154,7 @@
 
 fn settings() -> Settings {
     let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    Settings { page: 7, ..Settings::new((1..=MEMBERS as u16).map(at).collect(), PREFIX) }
+    Settings { page_size: 7, ..Settings::new((1..=MEMBERS as u16).map(at).collect(), PREFIX) }
 }
 
 fn id(endpoint: usize) -> String {
--- a/src/config/product/describe.rs
+++ b/src/config/product/describe.rs
@@ -23,7 +23,7 @@
     json!({
         "endpoints": registry.endpoints,
         "prefix": registry.prefix,
-        "page": registry.page,
+        "page": registry.page_size,
         "most_keys": registry.max_keys,
         "most_value_bytes": registry.max_value_bytes,
         "most_message_bytes": registry.max_message_bytes,
--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -16,7 +16,7 @@
     /// Prefix of the keys of endpoint records; ends with `/`.
     pub prefix: String,
     /// Number of keys requested in one page of a list.
-    pub page: usize,
+    pub page_size: usize,
     /// Maximum number of keys below the prefix; if there are more, the last good list is kept.
     pub max_keys: usize,
     /// Maximum size of a record in bytes; a larger record counts as unreadable.
@@ -47,7 +47,7 @@
         RegistrySettings {
             endpoints,
             prefix: prefix.to_owned(),
-            page: 500,
+            page_size: 500,
             max_keys: 20_000,
             max_value_bytes: 4_096,
             max_message_bytes: 2 << 20,
@@ -68,7 +68,7 @@
         let prefix = arguments.text("prefix", parse_prefix)?;
         let mut registry = RegistrySettings::new(Vec::new(), "");
         let ms = |number: u64| number * MICROS_PER_MS;
-        arguments.number("page", 1..=5_000, |number| registry.page = number as usize)?;
+        arguments.number("page", 1..=5_000, |number| registry.page_size = number as usize)?;
         arguments.number("most_keys", 1..=60_000, |number| registry.max_keys = number as usize)?;
         arguments
             .number("most_value_bytes", 64..=65_536, |number| registry.max_value_bytes = number as usize)?;
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -103,7 +103,7 @@
             actions.push(Action::CancelWatch { watch: watch.details.0 });
         }
         list.from = self.settings.prefix.clone().into_bytes();
-        list.limit = self.settings.page;
+        list.limit = self.settings.page_size;
         self.state = State::Listing { connection: list.connection, until: 0, list: Box::new(list) };
         self.request_page(now, actions);
     }
@@ -191,7 +191,7 @@
             page.entries.iter_mut().for_each(mark_unreadable);
             list.limit = 1;
         } else {
-            list.limit = (list.limit * 2).min(self.settings.page);
+            list.limit = (list.limit * 2).min(self.settings.page_size);
         }
         list.entries.append(&mut page.entries);
         Ok(())
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -15,7 +15,7 @@
 
 fn settings(endpoints: usize) -> Settings {
     let at = |n: usize| ([127, 0, 0, 1], 1 + n as u16).into();
-    Settings { retry_spread: 0, page: 2, ..Settings::new((0..endpoints).map(at).collect(), "/d/") }
+    Settings { retry_spread: 0, page_size: 2, ..Settings::new((0..endpoints).map(at).collect(), "/d/") }
 }
 
 fn item(id: u8, state: EndpointState, create: u64, modified: u64) -> KeyEntry {
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -47,9 +47,9 @@
     digest: Digest,
 }
 
-fn settings(page: usize) -> Settings {
+fn settings(page_size: usize) -> Settings {
     let endpoints = (1..=ENDPOINTS).map(|port| ([127, 0, 0, 1], port).into()).collect();
-    Settings { page, max_keys: 24, ..Settings::new(endpoints, PREFIX) }
+    Settings { page_size, max_keys: 24, ..Settings::new(endpoints, PREFIX) }
 }
 
 fn decoder() -> Decoder {
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -159,7 +159,7 @@
         registry: Some(RegistrySettings {
             endpoints: endpoints(2_379),
             prefix: "/larchdale/depots/".to_owned(),
-            page: 501,
+            page_size: 501,
             max_keys: 20_001,
             max_value_bytes: 4_097,
             max_message_bytes: 2_097_153,
