--- a/src/config/platform/mod.rs
+++ b/src/config/platform/mod.rs
@@ -39,10 +39,10 @@
     pub limits: Limits,
     /// Address of the command channel.
     pub channel: SocketAddr,
-    /// Number of the last event in `known`.
+    /// Number of the last event in `known_events`.
     pub cursor: u64,
     /// The events that precede the start of the instance.
-    pub known: Vec<Command>,
+    pub known_events: Vec<Command>,
     /// Bandwidth of one transfer from the local cache and of all transfers together, in bytes per second; 0 disables
     /// the cache.
     pub local_cache_link: (f64, f64),
@@ -165,7 +165,7 @@
             file.settings.limits.max_open = usize::MAX;
         }
         let cursor = file.known.cursor;
-        let known = std::mem::take(&mut file.known).into_commands(&file.settings)?;
+        let known_events = std::mem::take(&mut file.known).into_commands(&file.settings)?;
         file.settings.check()?;
         check_rate("flow_bytes_per_s", file.flow_bytes_per_s)?;
         check_rate("link_bytes_per_s", file.link_bytes_per_s)?;
@@ -181,7 +181,7 @@
             limits: file.limits,
             channel: parse_address("channel", file.channel)?,
             cursor,
-            known,
+            known_events,
             local_cache_link: (file.flow_bytes_per_s, file.link_bytes_per_s),
             peering: parse_peering(file.peer_listen, file.peers, &file.settings)?,
             name: file.name,
--- a/src/proxy/start.rs
+++ b/src/proxy/start.rs
@@ -120,7 +120,7 @@
         let (product_path, product) = product.unzip();
         let retry = Retry { clock: &clock, flags: event_loop.flags(), log: &log };
         let sockets = Sockets::open(&config, &mut event_loop, &retry)?;
-        let known = std::mem::take(&mut config.known);
+        let known = std::mem::take(&mut config.known_events);
         let (peering, seed) = (config.peering.take(), config.seed);
         let configuration = Configuration::new(&config, product_path);
         let mut proxy = Proxy::new(event_loop, config, configuration, sockets, clock, log);
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -102,7 +102,7 @@
 fn every_key_of_the_configuration_is_read() {
     let config = Config::parse(CONFIGURATION, "config.json".into()).unwrap();
     assert_eq!(config.settings, settings());
-    assert_eq!(config.known, known_commands());
+    assert_eq!(config.known_events, known_commands());
     let name_and_addresses = (config.name.as_str(), config.listen, config.management, config.channel);
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     assert_eq!(name_and_addresses, ("example", address(9_090), Some(address(9_091)), address(9_379)));
@@ -121,8 +121,8 @@
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, "examples/config.json".into()).unwrap();
     assert_eq!((config.name.as_str(), config.cursor, config.seed), ("example", 1, 0x8c1f_30d2_7a5b_e964));
-    let [Command::Endpoints { complete: true, records }] = &config.known[..] else {
-        panic!("{:?}", config.known)
+    let [Command::Endpoints { complete: true, records }] = &config.known_events[..] else {
+        panic!("{:?}", config.known_events)
     };
     let records: Vec<_> = records.iter().map(|r| (r.id.as_str(), r.zone, r.kind, r.weight)).collect();
     let endpoints = [
