--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -155,7 +155,7 @@
     /// Number of endpoints in the list.
     pub targets: usize,
     /// Number of those endpoints that the router avoids.
-    pub avoided: usize,
+    pub unavailable: usize,
     /// Metrics of gossip, if enabled.
     pub peers: Option<PeerMetrics>,
     /// Metrics of the enabled fleet-wide features, by name.
@@ -238,7 +238,7 @@
         line("dispatches_total", "", self.dispatches);
         line("concurrent", "", self.concurrent());
         line("targets", "", gauges.targets as u64);
-        line("targets_disabled", "", gauges.avoided as u64);
+        line("targets_disabled", "", gauges.unavailable as u64);
         line("reload_success_total", "", self.reloads[0]);
         line("reload_failure_total", "", self.reloads[1]);
         for (name, value) in gauges.peers.iter().flat_map(PeerMetrics::lines) {
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -54,7 +54,7 @@
     metrics.request_accepted();
     assert_eq!(metrics.class("images"), plain);
     assert_ne!(odd, plain);
-    let text = metrics.render(Gauges { targets: 7, avoided: 2, peers: None, fleet: Vec::new() });
+    let text = metrics.render(Gauges { targets: 7, unavailable: 2, peers: None, fleet: Vec::new() });
     let expected = "proxy_replies_total{type=\"a\\\"b\\\\c\\nd\",status=\"success\"} 0\n\
         proxy_replies_total{type=\"a\\\"b\\\\c\\nd\",status=\"overload\"} 0\n\
         proxy_replies_total{type=\"a\\\"b\\\\c\\nd\",status=\"error\"} 0\n\
@@ -70,7 +70,7 @@
         from_unknown_addresses: 1,
         ..PeerMetrics::default()
     });
-    let text = metrics.render(Gauges { targets: 7, avoided: 2, peers, fleet: vec![("site_plan", 7)] });
+    let text = metrics.render(Gauges { targets: 7, unavailable: 2, peers, fleet: vec![("site_plan", 7)] });
     let more = text.strip_prefix(expected.trim_end_matches("end\n")).unwrap();
     for line in [
         "peers{state=\"alive\"} 3",
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -202,7 +202,7 @@
         let listed = self.discovery.endpoint_list.counts();
         Gauges {
             targets: listed.ready + listed.draining + listed.shadowed,
-            avoided: self.router.unavailable_endpoints(),
+            unavailable: self.router.unavailable_endpoints(),
             peers: self.gossip.as_ref().map(|gossip| gossip.figures()),
             fleet: self.fleet.as_ref().map_or(Vec::new(), |fleet| fleet.metrics(self.now)),
         }
--- a/tests/sent_forms.rs
+++ b/tests/sent_forms.rs
@@ -270,7 +270,7 @@
     }
     let counts = Counts { sent: 21, received: 22, undecodable: 23, suspected: 24, refuted: 25, died: 26 };
     let peers = PeerMetrics { by_state: [5, 6, 7, 8], counts, dropped: 40, from_unknown_addresses: 2 };
-    let gauges = Gauges { targets: 11, avoided: 4, peers: Some(peers), fleet: vec![("site_plan", 77)] };
+    let gauges = Gauges { targets: 11, unavailable: 4, peers: Some(peers), fleet: vec![("site_plan", 77)] };
     same_as_stored("sent/figures.txt", metrics.render(gauges).as_bytes());
     assert_eq!(metrics.to_string(), "clip-parts [1, 2, 3] a \"b\" \\ c [4, 0, 0] ");
 }
