--- a/src/proxy/tests.rs
+++ b/src/proxy/tests.rs
@@ -1,5 +1,5 @@
-//! The instance on real sockets, with endpoints, clients and a command channel played by the test. Nothing here
-//! rests on timing: the instance is turned until what is awaited has come, and time is skipped, not waited for.
+//! Tests of the proxy on real sockets; the test acts as the endpoints, the clients and the command channel. No test
+//! depends on real time: the event loop runs until the expected condition holds, and the clock is skipped forward.
 
 mod admin;
 mod clients;
@@ -58,13 +58,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// More turns than anything takes, however slow the machine; a turn with nothing to do lasts `PACE`.
-const TURNS: usize = 4_000;
-const PACE: Micros = 5 * MILLISECOND;
+/// Maximum number of event loop turns that a test waits for a condition. The limit is generous enough for slow
+/// machines; a turn without events lasts `TURN_INTERVAL`, in microseconds.
+const MAX_TURNS: usize = 4_000;
+const TURN_INTERVAL: Micros = 5 * MILLISECOND;
 const CACHE: &str = "s-00000001";
 const ORIGIN: &str = "s-00000002";
 
-struct World {
+/// A proxy under test, with the listeners of its two endpoints and of its command channel.
+struct Harness {
     proxy: Proxy,
     cache: StdListener,
     origin: StdListener,
@@ -73,7 +75,7 @@
     events: RecordedEvents,
 }
 
-/// All events that the router of an instance was handed, in order.
+/// All events passed to the router of an instance, in order.
 #[derive(Clone, Default)]
 struct RecordedEvents(Rc<RefCell<Vec<Event>>>);
 
@@ -88,34 +90,34 @@
     }
 }
 
-/// One end of a connection that the test holds.
+/// The test's end of a connection to the proxy.
 struct Peer {
     stream: StdStream,
-    got: BytesMut,
+    received: BytesMut,
     ended: bool,
-    /// It ended by a reset.
+    /// Whether the connection ended with an error, such as a reset, rather than an orderly close.
     reset: bool,
 }
 
 impl Peer {
     fn new(stream: StdStream) -> Self {
         stream.set_nonblocking(true).unwrap();
-        Peer { stream, got: BytesMut::new(), ended: false, reset: false }
+        Peer { stream, received: BytesMut::new(), ended: false, reset: false }
     }
 
-    fn pull(&mut self) {
+    fn read_available(&mut self) {
         let mut chunk = [0; 65536];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return self.ended = true,
-                Ok(n) => self.got.put_slice(&chunk[..n]),
+                Ok(n) => self.received.put_slice(&chunk[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => return (self.ended, self.reset) = (true, true),
             }
         }
     }
 
-    fn put(&mut self, bytes: &[u8]) {
+    fn write(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 }
@@ -141,20 +143,20 @@
     })
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
-        World::with(|_| {})
+        Harness::with(|_| {})
     }
 
-    /// One whose configuration has a change.
+    /// Starts a proxy with a modified configuration.
     fn with(change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        World::with_clock(Clock::start(), change)
+        Harness::with_clock(Clock::start(), change)
     }
 
-    /// The same by a clock of the test's.
+    /// Starts a proxy with a modified configuration and the given clock.
     fn with_clock(clock: Clock, change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        let bind = || StdListener::bind("127.0.0.1:0").unwrap();
-        let (cache, origin, channel) = (bind(), bind(), bind());
+        let bind_listener = || StdListener::bind("127.0.0.1:0").unwrap();
+        let (cache, origin, channel) = (bind_listener(), bind_listener(), bind_listener());
         let entry = |id: &str, listener: &StdListener, kind: &str| {
             serde_json::json!({"instanceId": id, "hostPort": listener.local_addr().unwrap().to_string(),
                 "zone": "east", "machineType": kind, "cell": 0, "lifecycle": "SERVING", "weight": 30,
@@ -177,19 +179,19 @@
         for listener in [&cache, &origin, &channel] {
             listener.set_nonblocking(true).unwrap();
         }
-        World { proxy, cache, origin, channel, config, events }
+        Harness { proxy, cache, origin, channel, config, events }
     }
 
-    /// Turns the instance until something has come.
-    fn until<T>(&mut self, what: &str, mut come: impl FnMut(&mut Proxy) -> Option<T>) -> T {
-        for _ in 0..TURNS {
-            if let Some(come) = come(&mut self.proxy) {
-                return come;
+    /// Runs the event loop until `condition` returns a value; panics after `MAX_TURNS` turns.
+    fn wait_until<T>(&mut self, what: &str, mut condition: impl FnMut(&mut Proxy) -> Option<T>) -> T {
+        for _ in 0..MAX_TURNS {
+            if let Some(value) = condition(&mut self.proxy) {
+                return value;
             }
-            self.proxy.timers.set(self.proxy.now + PACE, TimerEvent::AcceptRetry);
+            self.proxy.timers.set(self.proxy.now + TURN_INTERVAL, TimerEvent::AcceptRetry);
             self.proxy.turn().unwrap();
         }
-        panic!("never came: {what}");
+        panic!("timed out waiting for {what}");
     }
 
     fn skip(&mut self, span: Micros) {
@@ -197,46 +199,46 @@
         self.proxy.turn().unwrap();
     }
 
-    /// Lists the cache anew, with a change.
-    fn relist(&mut self, change: impl FnOnce(&mut Entry)) {
-        let d = &mut self.proxy;
-        let mut entry = d.discovery.endpoint_list.entry(CACHE).unwrap().clone();
+    /// Updates the cache's entry in the endpoint list and announces the change to the router.
+    fn update_cache_entry(&mut self, change: impl FnOnce(&mut Entry)) {
+        let proxy = &mut self.proxy;
+        let mut entry = proxy.discovery.endpoint_list.entry(CACHE).unwrap().clone();
         change(&mut entry);
-        d.discovery.endpoint_list.upsert(d.now, entry).unwrap();
-        d.announce_endpoints(usize::MAX);
-        d.process_events();
+        proxy.discovery.endpoint_list.upsert(proxy.now, entry).unwrap();
+        proxy.announce_endpoints(usize::MAX);
+        proxy.process_events();
     }
 
-    fn client(&mut self) -> Peer {
+    fn connect_client(&mut self) -> Peer {
         let address = self.proxy.listener.socket.local_addr().unwrap();
         Peer::new(StdStream::connect(address).unwrap())
     }
 
-    fn accept(&mut self, which: fn(&World) -> &StdListener) -> Peer {
-        let listener = which(self).try_clone().unwrap();
-        let stream = self.until("a connection of the doorman's", |_| listener.accept().ok());
+    fn accept(&mut self, listener_of: fn(&Harness) -> &StdListener) -> Peer {
+        let listener = listener_of(self).try_clone().unwrap();
+        let stream = self.wait_until("a connection from the proxy", |_| listener.accept().ok());
         Peer::new(stream.0)
     }
 
-    fn cache(&mut self) -> Peer {
-        self.accept(|w| &w.cache)
+    fn accept_cache(&mut self) -> Peer {
+        self.accept(|harness| &harness.cache)
     }
 
-    fn message<M>(&mut self, peer: &mut Peer, decode: impl Fn(&mut BytesMut) -> Option<M>) -> M {
-        self.until("a message", |_| {
-            peer.pull();
-            decode(&mut peer.got)
+    fn read_message<M>(&mut self, peer: &mut Peer, decode: impl Fn(&mut BytesMut) -> Option<M>) -> M {
+        self.wait_until("a message", |_| {
+            peer.read_available();
+            decode(&mut peer.received)
         })
     }
 
-    /// The words of the next command.
-    fn command(&mut self, peer: &mut Peer) -> Vec<String> {
-        self.message(peer, command)
+    /// Reads the next RESP command and returns its arguments.
+    fn read_command(&mut self, peer: &mut Peer) -> Vec<String> {
+        self.read_message(peer, decode_command)
     }
 
-    /// Type, stream and payload of the next frame.
-    fn frame(&mut self, peer: &mut Peer) -> (u8, u32, Vec<u8>) {
-        self.message(peer, |bytes| {
+    /// Reads the next frame and returns its type, stream and payload.
+    fn read_frame(&mut self, peer: &mut Peer) -> (u8, u32, Vec<u8>) {
+        self.read_message(peer, |bytes| {
             let length = u32::from_be_bytes(*bytes.first_chunk()?) as usize;
             if bytes.len() < 4 + length {
                 return None;
@@ -246,61 +248,64 @@
         })
     }
 
-    fn ended(&mut self, peer: &mut Peer) {
-        self.until("the end of a connection", |_| {
-            peer.pull();
+    fn expect_end(&mut self, peer: &mut Peer) {
+        self.wait_until("the end of a connection", |_| {
+            peer.read_available();
             peer.ended.then_some(())
         });
     }
 
-    /// Turns the instance some more, then checks that nothing has come.
-    fn silent(&mut self, peer: &mut Peer) {
+    /// Runs three more turns of the event loop, then asserts that the peer has received nothing.
+    fn expect_silence(&mut self, peer: &mut Peer) {
         for _ in 0..3 {
-            self.proxy.timers.set(self.proxy.now + PACE, TimerEvent::AcceptRetry);
+            self.proxy.timers.set(self.proxy.now + TURN_INTERVAL, TimerEvent::AcceptRetry);
             self.proxy.turn().unwrap();
         }
-        peer.pull();
-        assert!(peer.got.is_empty(), "{:?}", peer.got);
+        peer.read_available();
+        assert!(peer.received.is_empty(), "{:?}", peer.received);
     }
 
-    /// Client connections that are not on their way out.
+    /// Returns the number of client connections that are not closing.
     fn open_clients(&self) -> usize {
         self.proxy.clients.values().filter(|c| c.conn.is_open()).count()
     }
 
-    /// Codes of the outcomes that the module has heard.
-    fn codes(&self) -> Vec<(AttemptStatus, bool)> {
-        let code = |e: &Event| match e {
+    /// Returns the status of each attempt outcome that the router received, and whether that outcome was final.
+    fn outcomes(&self) -> Vec<(AttemptStatus, bool)> {
+        let outcome = |e: &Event| match e {
             Event::Outcome(o) => Some((o.status, o.is_final)),
             _ => None,
         };
-        self.events.all().iter().filter_map(code).collect()
+        self.events.all().iter().filter_map(outcome).collect()
     }
 
-    /// A client whose request has come to the cache.
-    fn asked(&mut self) -> (Peer, Peer, Vec<String>) {
-        let mut client = self.client();
-        client.put(&request(1, 1, "clip"));
-        let mut cache = self.cache();
-        let want = self.command(&mut cache);
-        (client, cache, want)
+    /// Sends a request from a new client and accepts the upstream connection on which the cache receives it. Returns the
+    /// client, the cache's end of the connection and the arguments of the received command.
+    fn forward_request(&mut self) -> (Peer, Peer, Vec<String>) {
+        let mut client = self.connect_client();
+        client.write(&request(1, 1, "clip"));
+        let mut cache = self.accept_cache();
+        let command = self.read_command(&mut cache);
+        (client, cache, command)
     }
 }
 
-fn command(bytes: &mut BytesMut) -> Option<Vec<String>> {
+/// Removes the first complete RESP command from `bytes` and returns its arguments.
+fn decode_command(bytes: &mut BytesMut) -> Option<Vec<String>> {
     let text = String::from_utf8(bytes.to_vec()).unwrap();
-    let (head, mut rest) = text.split_once("\r\n")?;
-    let mut words = Vec::new();
-    for _ in 0..head.strip_prefix('*')?.parse::<usize>().unwrap() {
+    let (header, mut rest) = text.split_once("\r\n")?;
+    let mut arguments = Vec::new();
+    for _ in 0..header.strip_prefix('*')?.parse::<usize>().unwrap() {
         let (length, after) = rest.split_once("\r\n")?;
         let length: usize = length.strip_prefix('$')?.parse().unwrap();
-        words.push(after.get(..length)?.to_owned());
+        arguments.push(after.get(..length)?.to_owned());
         rest = after.get(length + 2..)?;
     }
     let _ = bytes.split_to(text.len() - rest.len());
-    Some(words)
+    Some(arguments)
 }
 
+/// Encodes a field list: a count, then each name and value with its length.
 fn fields(list: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![list.len() as u8];
     for (name, value) in list {
@@ -320,7 +325,7 @@
     out
 }
 
-fn trace(number: u32) -> String {
+fn request_id(number: u32) -> String {
     format!("{number:016x}")
 }
 
@@ -328,9 +333,10 @@
     request_with(stream, number, route, &[])
 }
 
+/// Encodes a request frame for `route` with the usual fields and `more`.
 fn request_with(stream: u32, number: u32, route: &str, more: &[(&str, &str)]) -> Vec<u8> {
-    let trace = trace(number);
-    let mut list = vec![("route", route), ("trace", &trace), ("patience", "1500"), ("batch", "17")];
+    let request_id = request_id(number);
+    let mut list = vec![("route", route), ("trace", &request_id), ("patience", "1500"), ("batch", "17")];
     list.extend([("entity", "7f3a9c21e0b4d655"), ("nth", "3"), ("size", "412.5")]);
     list.extend(more);
     let mut payload = fields(&list);
@@ -340,11 +346,14 @@
     frame(7, stream, &payload)
 }
 
-fn answer(id: &str, word: &str, fields: &str, body: &str) -> Vec<u8> {
-    let words = [id, word, fields, body].map(|w| format!("${}\r\n{w}\r\n", w.len()));
-    format!("*4\r\n{}", words.concat()).into_bytes()
+/// Encodes an endpoint's response as a RESP array.
+fn response(id: &str, status: &str, fields: &str, body: &str) -> Vec<u8> {
+    let arguments =
+        [id, status, fields, body].map(|argument| format!("${}\r\n{argument}\r\n", argument.len()));
+    format!("*4\r\n{}", arguments.concat()).into_bytes()
 }
 
-fn has(want: &[String], field: &str) -> bool {
-    want[2].split(',').any(|f| f == field)
+/// Whether the field list of an upstream command contains `field`.
+fn has_field(command: &[String], field: &str) -> bool {
+    command[2].split(',').any(|f| f == field)
 }
--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -41,27 +41,31 @@
     out
 }
 
-impl World {
+impl Harness {
     /// The instance's next connection to the command channel, with the number that it wrote.
     fn watch(&mut self) -> (Peer, u64) {
-        let mut channel = self.accept(|w| &w.channel);
-        let cursor = self.message(&mut channel, |b| Some(b.split_to_checked(8)?.try_into().unwrap()));
+        let mut channel = self.accept(|harness| &harness.channel);
+        let cursor = self.read_message(&mut channel, |b| Some(b.split_to_checked(8)?.try_into().unwrap()));
         (channel, u64::from_be_bytes(cursor))
     }
 
     /// One that has brought its first frame.
-    pub(super) fn watched() -> (World, Peer) {
-        let mut w = World::new();
-        let (mut channel, cursor) = w.watch();
+    pub(super) fn watched() -> (Harness, Peer) {
+        let mut harness = Harness::new();
+        let (mut channel, cursor) = harness.watch();
         assert_eq!(cursor, CURSOR);
-        channel.put(&nothing(CURSOR));
-        w.until("the first frame", |d| d.discovery.command_channel.is_current(d.now).then_some(()));
-        (w, channel)
+        channel.write(&nothing(CURSOR));
+        harness.wait_until("the first frame", |proxy| {
+            proxy.discovery.command_channel.is_current(proxy.now).then_some(())
+        });
+        (harness, channel)
     }
 
     /// Turns until the instance is past an event.
     fn past(&mut self, number: u64) {
-        self.until("an event", |d| (d.discovery.command_channel.cursor() == number).then_some(()));
+        self.wait_until("an event", |proxy| {
+            (proxy.discovery.command_channel.cursor() == number).then_some(())
+        });
     }
 
     /// Lets time pass without a turn: what comes next is the next thing that the instance hears of.
@@ -109,23 +113,23 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_dialed_again_with_its_cursor() {
-    let (mut w, mut channel) = World::watched();
-    channel.put(&purge(42));
-    w.past(42);
-    w.skip(1_500 * MILLISECOND);
-    w.no_dial();
-    w.skip(1_000 * MILLISECOND + SWEEP_INTERVAL);
-    w.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    let (mut next, cursor) = w.watch();
-    assert_eq!((cursor, w.metrics().timeouts), (42, 1));
-    w.ended(&mut channel);
+    let (mut harness, mut channel) = Harness::watched();
+    channel.write(&purge(42));
+    harness.past(42);
+    harness.skip(1_500 * MILLISECOND);
+    harness.no_dial();
+    harness.skip(1_000 * MILLISECOND + SWEEP_INTERVAL);
+    harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
+    let (mut next, cursor) = harness.watch();
+    assert_eq!((cursor, harness.metrics().timeouts), (42, 1));
+    harness.expect_end(&mut channel);
     // One that never brings a frame has less time.
-    w.skip(1_000 * MILLISECOND);
-    w.no_dial();
-    w.skip(1_200 * MILLISECOND + SWEEP_INTERVAL);
-    w.skip(300 * MILLISECOND + SWEEP_INTERVAL);
-    assert_eq!((w.watch().1, w.metrics().timeouts), (42, 2));
-    w.ended(&mut next);
+    harness.skip(1_000 * MILLISECOND);
+    harness.no_dial();
+    harness.skip(1_200 * MILLISECOND + SWEEP_INTERVAL);
+    harness.skip(300 * MILLISECOND + SWEEP_INTERVAL);
+    assert_eq!((harness.watch().1, harness.metrics().timeouts), (42, 2));
+    harness.expect_end(&mut next);
 }
 
 /// With a dead watch judged by any byte, as it once was, the trickle held it for good.
@@ -133,34 +137,36 @@
 fn half_a_frame_is_no_frame_whether_silence_follows_or_a_trickle() {
     for trickles in [false, true] {
         for first in [false, true] {
-            let mut w = World::new();
-            let (mut channel, _) = w.watch();
+            let mut harness = Harness::new();
+            let (mut channel, _) = harness.watch();
             if !first {
-                channel.put(&nothing(CURSOR));
-                w.until("the first frame", |d| d.discovery.command_channel.is_current(d.now).then_some(()));
+                channel.write(&nothing(CURSOR));
+                harness.wait_until("the first frame", |proxy| {
+                    proxy.discovery.command_channel.is_current(proxy.now).then_some(())
+                });
             }
             let bytes = purge(42);
             for taken in 0..10 {
-                channel.put(&bytes[taken..=taken]);
+                channel.write(&bytes[taken..=taken]);
                 // The byte is read before time goes on.
-                w.until("a byte", |d| {
-                    (d.discovery.command_channel.buffered_bytes() == taken + 1).then_some(())
+                harness.wait_until("a byte", |proxy| {
+                    (proxy.discovery.command_channel.buffered_bytes() == taken + 1).then_some(())
                 });
                 if trickles {
-                    w.skip(100 * MILLISECOND);
+                    harness.skip(100 * MILLISECOND);
                 }
             }
             // Where it trickles, the last byte is not so long ago.
-            w.skip(if trickles { 1_600 * MILLISECOND } else { 2_500 * MILLISECOND } + SWEEP_INTERVAL);
+            harness.skip(if trickles { 1_600 * MILLISECOND } else { 2_500 * MILLISECOND } + SWEEP_INTERVAL);
             // Seen here: later, real time would end it by any byte.
-            assert_eq!(w.metrics().timeouts, 1, "{trickles} {first}");
-            w.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-            let (mut next, cursor) = w.watch();
-            assert_eq!((cursor, w.metrics().timeouts), (CURSOR, 1), "{trickles} {first}");
+            assert_eq!(harness.metrics().timeouts, 1, "{trickles} {first}");
+            harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
+            let (mut next, cursor) = harness.watch();
+            assert_eq!((cursor, harness.metrics().timeouts), (CURSOR, 1), "{trickles} {first}");
             // Nothing of the half is left over: the event comes whole on the next.
-            next.put(&bytes);
-            w.past(42);
-            assert_eq!(w.proxy.purges.iter().count(), 1);
+            next.write(&bytes);
+            harness.past(42);
+            assert_eq!(harness.proxy.purges.iter().count(), 1);
         }
     }
 }
@@ -169,50 +175,50 @@
 /// whole frames alone.
 #[test]
 fn a_long_list_that_goes_on_coming_is_waited_for() {
-    let (mut w, mut channel) = World::watched();
-    let mut list = [record(1, &w.cache, READY), record(2, &w.origin, READY)].concat();
+    let (mut harness, mut channel) = Harness::watched();
+    let mut list = [record(1, &harness.cache, READY), record(2, &harness.origin, READY)].concat();
     for id in 3..8_000 {
-        list.extend(record(id, &w.cache, GONE));
+        list.extend(record(id, &harness.cache, GONE));
     }
     let list = event(60, 1, &list);
     let mut put = 0;
     for piece in list.chunks(list.len() / 6 + 1) {
         for bytes in piece.chunks(8 * 1024) {
-            channel.put(bytes);
+            channel.write(bytes);
             put += bytes.len();
-            w.until("a piece", |d| {
-                (d.discovery.command_channel.buffered_bytes() == put
-                    || d.discovery.command_channel.cursor() == 60)
+            harness.wait_until("a piece", |proxy| {
+                (proxy.discovery.command_channel.buffered_bytes() == put
+                    || proxy.discovery.command_channel.cursor() == 60)
                     .then_some(())
             });
         }
         if put < list.len() {
-            w.skip(640 * MILLISECOND);
+            harness.skip(640 * MILLISECOND);
         }
     }
-    w.past(60);
-    assert_eq!((w.metrics().opened, w.metrics().timeouts), (1, 0));
-    assert!(w.takes_work(CACHE) && w.takes_work(ORIGIN));
+    harness.past(60);
+    assert_eq!((harness.metrics().opened, harness.metrics().timeouts), (1, 0));
+    assert!(harness.takes_work(CACHE) && harness.takes_work(ORIGIN));
 }
 
 /// A queue of connections that is full drops what comes to it, as a host does that is cut off. With the bound of a
 /// silent watch on dials, as there once was, the second dial came too late to be there when the test looks.
 #[test]
 fn a_dial_that_gets_no_answer_is_soon_begun_anew() {
-    let mut w = World::new();
-    rustix::net::listen(&w.channel, 0).unwrap();
-    let filler = StdStream::connect(w.channel.local_addr().unwrap()).unwrap();
-    let first = w.until("a dial", |d| d.discovery.command_channel.token());
-    w.skip(400 * MILLISECOND);
-    assert_eq!(w.proxy.discovery.command_channel.token(), Some(first));
-    w.skip(600 * MILLISECOND + SWEEP_INTERVAL);
-    assert_eq!((w.metrics().timeouts, w.metrics().opened), (1, 0));
+    let mut harness = Harness::new();
+    rustix::net::listen(&harness.channel, 0).unwrap();
+    let filler = StdStream::connect(harness.channel.local_addr().unwrap()).unwrap();
+    let first = harness.wait_until("a dial", |proxy| proxy.discovery.command_channel.token());
+    harness.skip(400 * MILLISECOND);
+    assert_eq!(harness.proxy.discovery.command_channel.token(), Some(first));
+    harness.skip(600 * MILLISECOND + SWEEP_INTERVAL);
+    assert_eq!((harness.metrics().timeouts, harness.metrics().opened), (1, 0));
     // Discovery is back: one dial more, with the cursor.
-    rustix::net::listen(&w.channel, 16).unwrap();
-    let filled = w.channel.accept().unwrap();
-    w.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    assert_eq!(w.watch().1, CURSOR);
-    assert_eq!((w.metrics().timeouts, w.metrics().opened), (1, 1));
+    rustix::net::listen(&harness.channel, 16).unwrap();
+    let filled = harness.channel.accept().unwrap();
+    harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
+    assert_eq!(harness.watch().1, CURSOR);
+    assert_eq!((harness.metrics().timeouts, harness.metrics().opened), (1, 1));
     drop((filler, filled));
 }
 
@@ -222,54 +228,58 @@
 /// now. Planted fault: with the old connection kept by `CommandChannel::move_to`, the drain told on it is taken.
 #[test]
 fn what_an_older_watch_still_delivers_does_not_count() {
-    let (mut w, mut old) = World::watched();
-    let token = w.proxy.discovery.command_channel.token().unwrap();
-    let drain = event(42, 2, &record(1, &w.cache, DRAINS));
+    let (mut harness, mut old) = Harness::watched();
+    let token = harness.proxy.discovery.command_channel.token().unwrap();
+    let drain = event(42, 2, &record(1, &harness.cache, DRAINS));
     // The bytes are there to be read, and the poll has told of them, when SIGHUP moves discovery.
-    old.put(&drain);
+    old.write(&drain);
     let elsewhere = StdListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
-    let mut config = w.config.clone();
+    let mut config = harness.config.clone();
     config["channel"] = elsewhere.local_addr().unwrap().to_string().into();
-    assert!(w.reconfigure("older", &config.to_string()));
-    w.proxy.handle_ready(Ready { token, readable: true, writable: true, ended: false });
-    w.channel = elsewhere;
-    let (mut new, cursor) = w.watch();
-    assert_eq!((cursor, w.proxy.discovery.command_channel.cursor()), (CURSOR, CURSOR));
-    assert!(w.takes_work(CACHE) && w.tidings() == 0);
-    w.ended(&mut old);
-    new.put(&drain);
-    w.past(42);
-    assert!(!w.takes_work(CACHE) && w.tidings() == 1);
+    assert!(harness.reconfigure("older", &config.to_string()));
+    harness.proxy.handle_ready(Ready { token, readable: true, writable: true, ended: false });
+    harness.channel = elsewhere;
+    let (mut new, cursor) = harness.watch();
+    assert_eq!((cursor, harness.proxy.discovery.command_channel.cursor()), (CURSOR, CURSOR));
+    assert!(harness.takes_work(CACHE) && harness.tidings() == 0);
+    harness.expect_end(&mut old);
+    new.write(&drain);
+    harness.past(42);
+    assert!(!harness.takes_work(CACHE) && harness.tidings() == 1);
 }
 
 #[test]
 fn a_half_that_discovery_sent_before_it_moved_is_not_completed_by_what_comes_after() {
-    let (mut w, mut old) = World::watched();
-    let bytes = [event(42, 2, &record(1, &w.cache, DRAINS)), purge(43)].concat();
+    let (mut harness, mut old) = Harness::watched();
+    let bytes = [event(42, 2, &record(1, &harness.cache, DRAINS)), purge(43)].concat();
     let cut = bytes.len() - 8;
-    old.put(&bytes[..cut]);
-    w.past(42);
-    w.until("the half", |d| (d.discovery.command_channel.buffered_bytes() > 0).then_some(()));
+    old.write(&bytes[..cut]);
+    harness.past(42);
+    harness
+        .wait_until("the half", |proxy| (proxy.discovery.command_channel.buffered_bytes() > 0).then_some(()));
     let elsewhere = StdListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
-    let mut config = w.config.clone();
+    let mut config = harness.config.clone();
     config["channel"] = elsewhere.local_addr().unwrap().to_string().into();
-    let token = w.proxy.discovery.command_channel.token();
-    assert!(w.reconfigure("half", &config.to_string()));
+    let token = harness.proxy.discovery.command_channel.token();
+    assert!(harness.reconfigure("half", &config.to_string()));
     assert!(
-        w.proxy.discovery.command_channel.token() != token,
+        harness.proxy.discovery.command_channel.token() != token,
         "the connection and its half are gone at once"
     );
-    w.channel = elsewhere;
-    let (mut new, cursor) = w.watch();
+    harness.channel = elsewhere;
+    let (mut new, cursor) = harness.watch();
     assert_eq!(cursor, 42, "the whole one is not asked for again");
-    assert!((w.proxy.purges.iter().count() == 0));
+    assert!((harness.proxy.purges.iter().count() == 0));
     // The rest alone would be no frame; the whole frame counts once, and so does one that comes twice.
-    new.put(&[event(42, 2, &record(1, &w.cache, READY)), purge(43), purge(43)].concat());
-    w.past(43);
-    w.silent(&mut new);
-    assert_eq!((w.proxy.purges.iter().count(), w.tidings(), w.takes_work(CACHE)), (1, 1, false));
+    new.write(&[event(42, 2, &record(1, &harness.cache, READY)), purge(43), purge(43)].concat());
+    harness.past(43);
+    harness.expect_silence(&mut new);
+    assert_eq!(
+        (harness.proxy.purges.iter().count(), harness.tidings(), harness.takes_work(CACHE)),
+        (1, 1, false)
+    );
 }
 
 // ---- numbers ----
@@ -277,62 +287,65 @@
 /// Without a look at the numbers, as it once was, the drain was never heard: the next event was taken for it.
 #[test]
 fn a_drain_that_was_left_out_is_asked_for_at_once() {
-    let (mut w, mut channel) = World::watched();
-    let drain = event(43, 2, &record(1, &w.cache, DRAINS));
-    channel.put(&[purge(42), purge(44), purge(45)].concat());
-    let (mut next, cursor) = w.watch();
-    w.ended(&mut channel);
-    assert_eq!((cursor, w.metrics().gaps), (42, 1), "from where it broke off, with no pause");
-    assert_eq!(w.proxy.purges.iter().count(), 1, "what is behind the gap comes again");
-    next.put(&[drain, purge(44), purge(45)].concat());
-    w.past(45);
-    assert_eq!((w.proxy.purges.iter().count(), w.tidings(), w.takes_work(CACHE)), (3, 1, false));
-    assert_eq!(w.metrics(), Metrics { opened: 2, gaps: 1, ..Metrics::default() });
+    let (mut harness, mut channel) = Harness::watched();
+    let drain = event(43, 2, &record(1, &harness.cache, DRAINS));
+    channel.write(&[purge(42), purge(44), purge(45)].concat());
+    let (mut next, cursor) = harness.watch();
+    harness.expect_end(&mut channel);
+    assert_eq!((cursor, harness.metrics().gaps), (42, 1), "from where it broke off, with no pause");
+    assert_eq!(harness.proxy.purges.iter().count(), 1, "what is behind the gap comes again");
+    next.write(&[drain, purge(44), purge(45)].concat());
+    harness.past(45);
+    assert_eq!(
+        (harness.proxy.purges.iter().count(), harness.tidings(), harness.takes_work(CACHE)),
+        (3, 1, false)
+    );
+    assert_eq!(harness.metrics(), Metrics { opened: 2, gaps: 1, ..Metrics::default() });
 }
 
 #[test]
 fn what_is_not_to_be_had_is_asked_for_once_and_then_gone_without() {
-    let (mut w, mut channel) = World::watched();
+    let (mut harness, mut channel) = Harness::watched();
     for (number, asks) in [(44, 1), (50, 2)] {
-        channel.put(&purge(number));
-        let (next, cursor) = w.watch();
+        channel.write(&purge(number));
+        let (next, cursor) = harness.watch();
         assert!(cursor < number);
         channel = next;
-        channel.put(&purge(number));
-        w.past(number);
-        assert_eq!((w.metrics().gaps, w.metrics().accepted_gaps), (asks, asks));
+        channel.write(&purge(number));
+        harness.past(number);
+        assert_eq!((harness.metrics().gaps, harness.metrics().accepted_gaps), (asks, asks));
     }
     // A whole list says all that was told of endpoints before it, and what is late is known.
-    let list = [record(1, &w.cache, READY), record(2, &w.origin, READY)].concat();
-    channel.put(&[event(90, 1, &list), purge(43), nothing(7), purge(91)].concat());
-    w.past(91);
-    w.silent(&mut channel);
-    w.no_dial();
-    assert_eq!(w.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 2, ..Metrics::default() });
-    assert_eq!(w.proxy.purges.iter().count(), 3);
+    let list = [record(1, &harness.cache, READY), record(2, &harness.origin, READY)].concat();
+    channel.write(&[event(90, 1, &list), purge(43), nothing(7), purge(91)].concat());
+    harness.past(91);
+    harness.expect_silence(&mut channel);
+    harness.no_dial();
+    assert_eq!(harness.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 2, ..Metrics::default() });
+    assert_eq!(harness.proxy.purges.iter().count(), 3);
 }
 
 /// An empty frame bears the number of the last event: where that is beyond the cursor, one is missing, though nothing
 /// more may follow for long.
 #[test]
 fn an_empty_frame_shows_that_the_last_event_was_left_out() {
-    let (mut w, mut channel) = World::watched();
-    channel.put(&nothing(42));
-    let (mut next, cursor) = w.watch();
-    w.ended(&mut channel);
-    assert_eq!((cursor, w.metrics().gaps), (CURSOR, 1));
-    next.put(&[event(42, 2, &record(1, &w.cache, DRAINS)), nothing(42)].concat());
-    w.past(42);
-    assert!(!w.takes_work(CACHE));
+    let (mut harness, mut channel) = Harness::watched();
+    channel.write(&nothing(42));
+    let (mut next, cursor) = harness.watch();
+    harness.expect_end(&mut channel);
+    assert_eq!((cursor, harness.metrics().gaps), (CURSOR, 1));
+    next.write(&[event(42, 2, &record(1, &harness.cache, DRAINS)), nothing(42)].concat());
+    harness.past(42);
+    assert!(!harness.takes_work(CACHE));
     // One that says so again and has nothing between means something else by it, and is not asked again.
-    next.put(&nothing(44));
-    let (mut last, cursor) = w.watch();
-    assert_eq!((cursor, w.metrics().gaps), (42, 2));
-    last.put(&[nothing(44), purge(43), nothing(700), purge(44), nothing(701)].concat());
-    w.past(44);
-    w.silent(&mut last);
-    w.no_dial();
-    assert_eq!(w.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 1, ..Metrics::default() });
+    next.write(&nothing(44));
+    let (mut last, cursor) = harness.watch();
+    assert_eq!((cursor, harness.metrics().gaps), (42, 2));
+    last.write(&[nothing(44), purge(43), nothing(700), purge(44), nothing(701)].concat());
+    harness.past(44);
+    harness.expect_silence(&mut last);
+    harness.no_dial();
+    assert_eq!(harness.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 1, ..Metrics::default() });
 }
 
 // ---- drains ----
@@ -340,27 +353,27 @@
 /// A drain that was told while no watch was open comes before any empty frame; nothing goes to the endpoint after it.
 #[test]
 fn what_was_told_meanwhile_counts_as_soon_as_the_watch_is_back() {
-    let (mut w, channel) = World::watched();
-    let mut client = w.client();
-    client.put(&request(1, 1, "clip"));
-    let mut cache = w.cache();
-    assert_eq!(w.command(&mut cache)[1], trace(1));
-    cache.put(&answer(&trace(1), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
+    let (mut harness, channel) = Harness::watched();
+    let mut client = harness.connect_client();
+    client.write(&request(1, 1, "clip"));
+    let mut cache = harness.accept_cache();
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(1));
+    cache.write(&response(&request_id(1), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
     drop(channel);
-    w.until("the break", |d| d.discovery.command_channel.token().is_none().then_some(()));
-    w.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    let (mut channel, cursor) = w.watch();
+    harness.wait_until("the break", |proxy| proxy.discovery.command_channel.token().is_none().then_some(()));
+    harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
+    let (mut channel, cursor) = harness.watch();
     assert_eq!(cursor, CURSOR);
     // The drain and a request lie there together; the watch is read first.
-    channel.put(&event(42, 2, &record(1, &w.cache, DRAINS)));
-    client.put(&request(2, 2, "clip"));
-    w.later(MILLISECOND);
-    w.watch_first();
-    assert!(!w.takes_work(CACHE));
-    let mut origin = w.accept(|w| &w.origin);
-    assert_eq!(w.command(&mut origin)[1], trace(2));
-    w.silent(&mut cache);
+    channel.write(&event(42, 2, &record(1, &harness.cache, DRAINS)));
+    client.write(&request(2, 2, "clip"));
+    harness.later(MILLISECOND);
+    harness.watch_first();
+    assert!(!harness.takes_work(CACHE));
+    let mut origin = harness.accept(|harness| &harness.origin);
+    assert_eq!(harness.read_command(&mut origin)[1], request_id(2));
+    harness.expect_silence(&mut cache);
 }
 
 /// A request waits for a dial; before the dial is seen to have come through, the list changes: the endpoint drains, or
@@ -369,34 +382,37 @@
 #[test]
 fn what_waits_for_a_dial_is_not_written_to_whom_the_list_has_named_gone_meanwhile() {
     const NEW: &str = "s-00000007";
-    type Tells = fn(&World) -> Vec<u8>;
+    type Tells = fn(&Harness) -> Vec<u8>;
     let ways: [(&str, bool, Tells); 3] = [
-        ("it drains", false, |w| record(1, &w.cache, DRAINS)),
-        ("it is replaced", true, |w| [record(1, &w.cache, GONE), record(7, &w.cache, READY)].concat()),
-        ("another claims its address", true, |w| record(7, &w.cache, READY)),
+        ("it drains", false, |harness| record(1, &harness.cache, DRAINS)),
+        ("it is replaced", true, |harness| {
+            [record(1, &harness.cache, GONE), record(7, &harness.cache, READY)].concat()
+        }),
+        ("another claims its address", true, |harness| record(7, &harness.cache, READY)),
     ];
     for (what, replaced, tells) in ways {
-        let (mut w, mut channel) = World::watched();
-        let mut client = w.client();
-        client.put(&request(1, 1, "clip"));
-        let dialing = |d: &mut Proxy| {
-            let dial = d.pool.iter().find(|l| l.1.conn.state() == State::Dialing && &*l.1.endpoint == CACHE);
+        let (mut harness, mut channel) = Harness::watched();
+        let mut client = harness.connect_client();
+        client.write(&request(1, 1, "clip"));
+        let dialing = |proxy: &mut Proxy| {
+            let dial =
+                proxy.pool.iter().find(|l| l.1.conn.state() == State::Dialing && &*l.1.endpoint == CACHE);
             dial.map(|l| l.1.waiting.len())
         };
-        assert_eq!(w.until("a dial", dialing), 1, "{what}: the request waits for it");
-        channel.put(&event(42, 2, &tells(&w)));
-        w.later(MILLISECOND);
-        w.watch_first();
-        assert!(!w.takes_work(CACHE) && w.takes_work(NEW) == replaced, "{what}");
-        let mut first = w.cache();
+        assert_eq!(harness.wait_until("a dial", dialing), 1, "{what}: the request waits for it");
+        channel.write(&event(42, 2, &tells(&harness)));
+        harness.later(MILLISECOND);
+        harness.watch_first();
+        assert!(!harness.takes_work(CACHE) && harness.takes_work(NEW) == replaced, "{what}");
+        let mut first = harness.accept_cache();
         // It never ran, and its client hears so. The next goes to whom the list names, on a connection of its own.
-        assert_eq!(w.frame(&mut client).2[0], 50, "{what}");
-        w.silent(&mut first);
-        client.put(&request(2, 2, "clip"));
-        let listeners = [w.cache.try_clone().unwrap(), w.origin.try_clone().unwrap()];
-        let next = w.until("another", |_| listeners.iter().find_map(|l| l.accept().ok()));
-        assert_eq!(w.command(&mut Peer::new(next.0))[1], trace(2), "{what}");
-        w.silent(&mut first);
+        assert_eq!(harness.read_frame(&mut client).2[0], 50, "{what}");
+        harness.expect_silence(&mut first);
+        client.write(&request(2, 2, "clip"));
+        let listeners = [harness.cache.try_clone().unwrap(), harness.origin.try_clone().unwrap()];
+        let next = harness.wait_until("another", |_| listeners.iter().find_map(|l| l.accept().ok()));
+        assert_eq!(harness.read_command(&mut Peer::new(next.0))[1], request_id(2), "{what}");
+        harness.expect_silence(&mut first);
     }
 }
 
@@ -414,67 +430,70 @@
         ("half a record", event(43, 1, &strange[..26])),
     ];
     for (what, bytes) in bad {
-        let (mut w, mut channel) = World::watched();
-        let (mut client, mut cache, _) = w.asked();
+        let (mut harness, mut channel) = Harness::watched();
+        let (mut client, mut cache, _) = harness.forward_request();
         for (times, pause) in (1..).zip([100, 200, 400, 800, 1_000, 1_000]) {
             // What came before it counts, also in the same bytes; nothing behind it does.
-            channel.put(&[&purge(42)[..], &bytes, &purge(44)].concat());
-            w.until("the end", |d| (d.discovery.command_channel.metrics().malformed == times).then_some(()));
-            let due = w.proxy.now + pause * MILLISECOND;
-            let [before, then] = [due - 1, due].map(|t| w.proxy.discovery.command_channel.wants_dial(t));
+            channel.write(&[&purge(42)[..], &bytes, &purge(44)].concat());
+            harness.wait_until("the end", |proxy| {
+                (proxy.discovery.command_channel.metrics().malformed == times).then_some(())
+            });
+            let due = harness.proxy.now + pause * MILLISECOND;
+            let [before, then] =
+                [due - 1, due].map(|t| harness.proxy.discovery.command_channel.wants_dial(t));
             assert!(!before && then, "{what}: {times}");
             if times == 1 {
                 // Its own list and its other connections are as they were.
-                assert!(w.takes_work(CACHE) && w.tidings() == 0, "{what}");
-                cache.put(&answer(&trace(1), "ok", "-", "x"));
-                assert_eq!(w.frame(&mut client).2, b"\x14\x00x", "{what}");
+                assert!(harness.takes_work(CACHE) && harness.tidings() == 0, "{what}");
+                cache.write(&response(&request_id(1), "ok", "-", "x"));
+                assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x", "{what}");
             }
-            w.skip(SOON);
-            let (next, cursor) = w.watch();
-            assert_eq!((cursor, w.proxy.purges.iter().count()), (42, 1), "{what}");
+            harness.skip(SOON);
+            let (next, cursor) = harness.watch();
+            assert_eq!((cursor, harness.proxy.purges.iter().count()), (42, 1), "{what}");
             channel = next;
         }
         // The channel is sound again: it goes on from there.
-        channel.put(&purge(43));
-        w.past(43);
+        channel.write(&purge(43));
+        harness.past(43);
     }
 }
 
 #[test]
 fn places_beyond_the_settings_lists_are_borne() {
-    let (mut w, mut channel) = World::watched();
-    let cache = w.cache.try_clone().unwrap();
+    let (mut harness, mut channel) = Harness::watched();
+    let cache = harness.cache.try_clone().unwrap();
     let mut far = record(7, &cache, READY);
     (far[11], far[12], far[13], far[14]) = (255, 255, 255, 255);
-    channel.put(&event(42, 2, &[record(1, &cache, GONE), far].concat()));
-    w.past(42);
-    let mut client = w.client();
-    client.put(&request(1, 1, "clip"));
-    assert!(matches!(w.frame(&mut client).0, 8));
+    channel.write(&event(42, 2, &[record(1, &cache, GONE), far].concat()));
+    harness.past(42);
+    let mut client = harness.connect_client();
+    client.write(&request(1, 1, "clip"));
+    assert!(matches!(harness.read_frame(&mut client).0, 8));
 }
 
 /// Two new configurations while discovery is dialed: what counts is where the last one says it is, and with the number
 /// of the last event; the dials and connections before it are let go.
 #[test]
 fn two_moves_within_one_dial_lead_to_the_last_address() {
-    let mut w = World::new();
+    let mut harness = Harness::new();
     let places = [StdListener::bind("127.0.0.1:0").unwrap(), StdListener::bind("127.0.0.1:0").unwrap()];
     for place in &places {
-        w.proxy.discovery.command_channel.change_address(place.local_addr().unwrap());
-        w.proxy.run_command_channel();
+        harness.proxy.discovery.command_channel.change_address(place.local_addr().unwrap());
+        harness.proxy.run_command_channel();
     }
-    let old = w.channel.try_clone().unwrap();
-    w.channel = places[1].try_clone().unwrap();
-    w.channel.set_nonblocking(true).unwrap();
-    let (mut channel, cursor) = w.watch();
+    let old = harness.channel.try_clone().unwrap();
+    harness.channel = places[1].try_clone().unwrap();
+    harness.channel.set_nonblocking(true).unwrap();
+    let (mut channel, cursor) = harness.watch();
     assert_eq!(cursor, CURSOR);
-    channel.put(&event(CURSOR + 1, 2, &record(1, &w.cache, DRAINS)));
-    w.past(CURSOR + 1);
-    assert!(!w.takes_work(CACHE));
+    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINS)));
+    harness.past(CURSOR + 1);
+    assert!(!harness.takes_work(CACHE));
     for left in [&old, &places[0]] {
         left.set_nonblocking(true).unwrap();
         if let Ok((stream, _)) = left.accept() {
-            w.ended(&mut Peer::new(stream));
+            harness.expect_end(&mut Peer::new(stream));
         }
     }
 }
@@ -483,28 +502,28 @@
 /// before it counts as told and binds. Each wait is as long as it may be and no sweep helps.
 #[test]
 fn a_drain_told_into_silence_is_heard_in_time_though_two_tries_fail() {
-    let (mut w, _silent) = World::watched();
-    let began = w.proxy.now;
+    let (mut harness, _silent) = Harness::watched();
+    let began = harness.proxy.now;
     let mut held = Vec::new();
     for (silence, pause) in [(2_500, 100), (2_000, 200), (2_200, 400)] {
-        w.skip(silence * MILLISECOND);
-        assert!(w.proxy.discovery.command_channel.token().is_none(), "let go after {silence} ms");
-        w.skip(pause * MILLISECOND);
-        held.push(w.watch().0);
+        harness.skip(silence * MILLISECOND);
+        assert!(harness.proxy.discovery.command_channel.token().is_none(), "let go after {silence} ms");
+        harness.skip(pause * MILLISECOND);
+        held.push(harness.watch().0);
     }
     let mut channel = held.pop().unwrap();
-    channel.put(&event(CURSOR + 1, 2, &record(1, &w.cache, DRAINS)));
-    w.past(CURSOR + 1);
-    let after = w.proxy.now - began;
-    assert!(after < 7_500 * MILLISECOND && !w.takes_work(CACHE), "{after}");
+    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINS)));
+    harness.past(CURSOR + 1);
+    let after = harness.proxy.now - began;
+    assert!(after < 7_500 * MILLISECOND && !harness.takes_work(CACHE), "{after}");
 }
 
 #[test]
 fn the_command_channel_resumes_where_it_broke_off() {
-    let mut w = World::new();
-    let mut channel = w.accept(|w| &w.channel);
+    let mut harness = Harness::new();
+    let mut channel = harness.accept(|harness| &harness.channel);
     let cursor = |b: &mut BytesMut| (b.len() >= 8).then(|| b.split_to(8).to_vec());
-    assert_eq!(w.message(&mut channel, cursor), 41u64.to_be_bytes());
+    assert_eq!(harness.read_message(&mut channel, cursor), 41u64.to_be_bytes());
     let mut event = 25u32.to_be_bytes().to_vec();
     event.extend(42u64.to_be_bytes());
     event.push(3);
@@ -512,15 +531,15 @@
     event.extend(1u64.to_be_bytes());
     // A frame may be split anywhere.
     for byte in event {
-        channel.put(&[byte]);
-        w.proxy.turn().unwrap();
+        channel.write(&[byte]);
+        harness.proxy.turn().unwrap();
     }
-    w.until("the purge", |d| (d.purges.iter().count() == 1).then_some(()));
+    harness.wait_until("the purge", |proxy| (proxy.purges.iter().count() == 1).then_some(()));
     drop(channel);
-    let mut channel = w.accept(|w| &w.channel);
-    assert_eq!(w.message(&mut channel, cursor), 42u64.to_be_bytes());
+    let mut channel = harness.accept(|harness| &harness.channel);
+    assert_eq!(harness.read_message(&mut channel, cursor), 42u64.to_be_bytes());
     // Silence is as good as a break.
-    w.skip(3_000 * MILLISECOND);
-    let mut channel = w.accept(|w| &w.channel);
-    assert_eq!(w.message(&mut channel, cursor), 42u64.to_be_bytes());
+    harness.skip(3_000 * MILLISECOND);
+    let mut channel = harness.accept(|harness| &harness.channel);
+    assert_eq!(harness.read_message(&mut channel, cursor), 42u64.to_be_bytes());
 }
--- a/src/proxy/tests/configuration.rs
+++ b/src/proxy/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Harness {
     /// Puts a configuration in place and has the instance read it; whether it was taken over.
     pub(super) fn reconfigure(&mut self, name: &str, text: &str) -> bool {
         let path = std::env::temp_dir().join(format!("larchdale-{}-{name}.json", std::process::id()));
@@ -20,9 +20,9 @@
 
 #[test]
 fn a_reload_adds_and_drops_classes_while_requests_of_both_are_open() {
-    let mut w = World::new();
-    let (mut client, mut cache, _) = w.asked();
-    let mut config = w.config.clone();
+    let mut harness = Harness::new();
+    let (mut client, mut cache, _) = harness.forward_request();
+    let mut config = harness.config.clone();
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     let mut new = classes[2].clone();
     new["name"] = "late-edit".into();
@@ -35,27 +35,27 @@
         list.remove(0);
     }
     config["settings"]["limits"]["max-attempts"] = 1.into();
-    assert!(w.reconfigure("classes", &config.to_string()));
+    assert!(harness.reconfigure("classes", &config.to_string()));
     // The open one is answered as what it came as, and counted as that.
-    cache.put(&answer(&trace(1), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
+    cache.write(&response(&request_id(1), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
     // Clients have not heard yet: still served. Then refused on its stream, and nothing else ends.
-    client.put(&request(2, 2, "clip"));
-    assert_eq!(w.command(&mut cache)[1], trace(2));
-    cache.put(&answer(&trace(2), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
-    w.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
-    client.put(&request(3, 3, "clip"));
-    assert_eq!(w.frame(&mut client).2, [50, 0]);
+    client.write(&request(2, 2, "clip"));
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
+    cache.write(&response(&request_id(2), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
+    harness.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
+    client.write(&request(3, 3, "clip"));
+    assert_eq!(harness.read_frame(&mut client).2, [50, 0]);
     let edit = |stream, number| request_with(stream, number, "late-edit", &[("nonce", "0c")]);
-    client.put(&edit(4, 4));
-    let mut origin = w.accept(|w| &w.origin);
-    let want = w.command(&mut origin);
-    assert!(want[1] == trace(4) && has(&want, "c=late-edit"), "{want:?}");
+    client.write(&edit(4, 4));
+    let mut origin = harness.accept(|harness| &harness.origin);
+    let want = harness.read_command(&mut origin);
+    assert!(want[1] == request_id(4) && has_field(&want, "c=late-edit"), "{want:?}");
     // One attempt is all that there is now.
-    origin.put(&answer(&trace(4), "refused", "-", ""));
-    assert_eq!(w.frame(&mut client).2[0], 50);
-    let stats = w.call("stats\n");
+    origin.write(&response(&request_id(4), "refused", "-", ""));
+    assert_eq!(harness.read_frame(&mut client).2[0], 50);
+    let stats = harness.call("stats\n");
     for line in [
         "clip\",status=\"success\"} 2",
         "clip\",status=\"overload\"} 1",
@@ -64,18 +64,19 @@
     ] {
         assert!(stats.contains(line), "{line}: {stats}");
     }
-    w.skip(crate::config::settings::DROPPED_CLASS_KNOWN_FOR_US);
-    let mut other = w.client();
-    other.put(&request(1, 5, "clip"));
-    assert_eq!(w.frame(&mut other).1, 0, "no class any more");
+    harness.skip(crate::config::settings::DROPPED_CLASS_KNOWN_FOR_US);
+    let mut other = harness.connect_client();
+    other.write(&request(1, 5, "clip"));
+    assert_eq!(harness.read_frame(&mut other).1, 0, "no class any more");
 }
 
 #[test]
 fn an_unusable_configuration_file_changes_nothing() {
-    let mut w = World::new();
-    let whole = w.config.to_string();
-    let (channel, settings) = (w.proxy.discovery.command_channel.address(), w.proxy.settings.clone());
-    let mut changed = w.config.clone();
+    let mut harness = Harness::new();
+    let whole = harness.config.to_string();
+    let (channel, settings) =
+        (harness.proxy.discovery.command_channel.address(), harness.proxy.settings.clone());
+    let mut changed = harness.config.clone();
     changed["channel"] = "127.0.0.1:9".into();
     let text = changed.to_string();
     let deadline = |to: &str| text.replace("\"deadline-us\":6000000", &format!("\"deadline-us\":{to}"));
@@ -101,10 +102,13 @@
     other["settings"]["zone"] = 1.into();
     bad.push(other.to_string());
     for text in &bad {
-        assert!(!w.reconfigure("bad", text), "{text}");
+        assert!(!harness.reconfigure("bad", text), "{text}");
     }
-    assert_eq!((w.proxy.discovery.command_channel.address(), &w.proxy.settings), (channel, &settings));
-    assert!(!w.events.all().iter().any(|e| matches!(e, Event::Settings(_))));
-    assert!(w.call("stats\n").contains(&format!("reload_failure_total {}\n", bad.len())));
-    assert!(w.reconfigure("whole", &whole), "the file that it started with is one to take over");
+    assert_eq!(
+        (harness.proxy.discovery.command_channel.address(), &harness.proxy.settings),
+        (channel, &settings)
+    );
+    assert!(!harness.events.all().iter().any(|e| matches!(e, Event::Settings(_))));
+    assert!(harness.call("stats\n").contains(&format!("reload_failure_total {}\n", bad.len())));
+    assert!(harness.reconfigure("whole", &whole), "the file that it started with is one to take over");
 }
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -6,7 +6,7 @@
 
 /// An instance that next processes find, and the folder where they do.
 struct Found {
-    w: World,
+    harness: Harness,
     folder: PathBuf,
     identity: Identity,
 }
@@ -21,12 +21,12 @@
     fn new(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let folder = std::env::temp_dir().join(format!("larchdale-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let mut w = World::with(change);
-        let identity = Identity { name: "t".into(), listen: w.proxy.configuration.listen };
+        let mut harness = Harness::with(change);
+        let identity = Identity { name: "t".into(), listen: harness.proxy.configuration.listen };
         let files = TakeoverFiles::new(folder.clone(), identity.clone());
-        w.proxy.takeover = Some(Takeover::new(files, None, false, &mut w.proxy.event_loop));
-        w.proxy.begin_serving();
-        Found { w, folder, identity }
+        harness.proxy.takeover = Some(Takeover::new(files, None, false, &mut harness.proxy.event_loop));
+        harness.proxy.begin_serving();
+        Found { harness, folder, identity }
     }
 
     fn files(&self) -> TakeoverFiles {
@@ -53,7 +53,7 @@
 
     fn offered(&mut self, next: &mut StdUnix) {
         let mut said = [0; 64];
-        let count = self.w.until("an offer", |_| match next.read(&mut said) {
+        let count = self.harness.wait_until("an offer", |_| match next.read(&mut said) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
             other => Some(other.expect("not turned away")),
         });
@@ -82,12 +82,12 @@
         let mut next = f.knock();
         next.write_all(&f.hello()).unwrap();
         f.offered(&mut next);
-        assert!(f.w.proxy.has_other_process() && f.w.proxy.lifecycle.takes_clients());
+        assert!(f.harness.proxy.has_other_process() && f.harness.proxy.lifecycle.takes_clients());
         // By the new name the one after it hears that it is one too many.
         let mut third = f.knock();
         third.write_all(&f.hello()).unwrap();
         let mut said = [0; 64];
-        let count = f.w.until("a refusal", |_| third.read(&mut said).ok());
+        let count = f.harness.wait_until("a refusal", |_| third.read(&mut said).ok());
         assert_eq!(&said[..count], b"\"busy\"\n");
     }
 }
@@ -99,24 +99,24 @@
     let hello = f.hello();
     next.write_all(&hello[..9]).unwrap();
     for _ in 0..3 {
-        f.w.proxy.timers.set(f.w.proxy.now, TimerEvent::AcceptRetry);
-        f.w.proxy.turn().unwrap();
+        f.harness.proxy.timers.set(f.harness.proxy.now, TimerEvent::AcceptRetry);
+        f.harness.proxy.turn().unwrap();
     }
-    assert!(!f.w.proxy.has_other_process());
+    assert!(!f.harness.proxy.has_other_process());
     next.write_all(&hello[9..]).unwrap();
     f.offered(&mut next);
-    let half = f.w.proxy.bounds;
+    let half = f.harness.proxy.bounds;
     next.write_all(&serving(true)).unwrap();
     drop(next);
-    f.w.until("its end", |d| (!d.has_other_process()).then_some(()));
+    f.harness.wait_until("its end", |proxy| (!proxy.has_other_process()).then_some(()));
     assert!(
-        f.w.proxy.lifecycle.takes_clients()
-            && f.w.proxy.lifecycle.accepts_connections()
-            && f.w.proxy.bounds != half
+        f.harness.proxy.lifecycle.takes_clients()
+            && f.harness.proxy.lifecycle.accepts_connections()
+            && f.harness.proxy.bounds != half
     );
-    let mut client = f.w.client();
-    client.put(&frame(1, 5, &[0]));
-    assert_eq!(f.w.frame(&mut client), (2, 5, vec![20, 0]));
+    let mut client = f.harness.connect_client();
+    client.write(&frame(1, 5, &[0]));
+    assert_eq!(f.harness.read_frame(&mut client), (2, 5, vec![20, 0]));
 }
 
 /// SIGTERM and word of the successor in one turn, in either order; then the successor's end and a second SIGTERM.
@@ -124,30 +124,33 @@
 fn told_to_end_as_it_is_replaced_it_ends_with_its_connections_and_goes_on_if_the_successor_dies() {
     for first in [false, true] {
         let mut f = Found::new("ends", |_| {});
-        let (mut client, mut cache, _) = f.w.asked();
+        let (mut client, mut cache, _) = f.harness.forward_request();
         let mut next = f.successor();
         if first {
-            f.w.proxy.shut_down();
+            f.harness.proxy.shut_down();
         }
         next.write_all(&serving(true)).unwrap();
-        f.w.until("word of it", |d| (!d.lifecycle.accepts_connections()).then_some(()));
-        f.w.proxy.shut_down();
-        f.w.proxy.shut_down();
-        assert!(f.w.proxy.has_other_process() && !f.w.proxy.is_drained(), "a request is owed its answer");
+        f.harness.wait_until("word of it", |proxy| (!proxy.lifecycle.accepts_connections()).then_some(()));
+        f.harness.proxy.shut_down();
+        f.harness.proxy.shut_down();
+        assert!(
+            f.harness.proxy.has_other_process() && !f.harness.proxy.is_drained(),
+            "a request is owed its answer"
+        );
         // What it does not take waits for the successor. That one dies: nobody else would take it.
-        let mut waiting = f.w.client();
-        waiting.put(&request(1, 2, "clip"));
-        f.w.silent(&mut waiting);
+        let mut waiting = f.harness.connect_client();
+        waiting.write(&request(1, 2, "clip"));
+        f.harness.expect_silence(&mut waiting);
         drop(next);
-        f.w.proxy.shut_down();
-        assert_eq!(f.w.command(&mut cache)[1], trace(2));
+        f.harness.proxy.shut_down();
+        assert_eq!(f.harness.read_command(&mut cache)[1], request_id(2));
         for number in [1, 2] {
-            cache.put(&answer(&trace(number), "ok", "-", "x"));
+            cache.write(&response(&request_id(number), "ok", "-", "x"));
         }
-        assert_eq!((f.w.frame(&mut client).0, f.w.frame(&mut client).0), (3, 8));
-        assert_eq!((f.w.frame(&mut waiting).0, f.w.frame(&mut waiting).0), (3, 8));
-        f.w.skip(1_000 * MILLISECOND);
-        assert!(f.w.proxy.is_drained());
+        assert_eq!((f.harness.read_frame(&mut client).0, f.harness.read_frame(&mut client).0), (3, 8));
+        assert_eq!((f.harness.read_frame(&mut waiting).0, f.harness.read_frame(&mut waiting).0), (3, 8));
+        f.harness.skip(1_000 * MILLISECOND);
+        assert!(f.harness.proxy.is_drained());
     }
 }
 
@@ -156,21 +159,23 @@
 fn a_request_half_read_is_kept_when_two_processes_share_the_bounds() {
     let mut f = Found::new("half", |c| c["limits"]["sockets"] = 128.into());
     let bytes = request(1, 1, "clip");
-    let mut slow = f.w.client();
-    slow.put(&bytes[..20]);
-    f.w.until("half a request", |d| d.clients.values().any(|c| c.conn.has_partial_message()).then_some(()));
-    let half = Bounds::of(&f.w.proxy.configuration.limits, true, true).clients;
-    let mut others: Vec<Peer> = (0..half).map(|_| f.w.client()).collect();
+    let mut slow = f.harness.connect_client();
+    slow.write(&bytes[..20]);
+    f.harness.wait_until("half a request", |proxy| {
+        proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
+    });
+    let half = Bounds::of(&f.harness.proxy.configuration.limits, true, true).clients;
+    let mut others: Vec<Peer> = (0..half).map(|_| f.harness.connect_client()).collect();
     for other in &mut others {
-        other.put(&frame(1, 5, &[0]));
-        assert_eq!(f.w.frame(other).0, 2);
+        other.write(&frame(1, 5, &[0]));
+        assert_eq!(f.harness.read_frame(other).0, 2);
     }
-    assert_eq!(f.w.proxy.clients.len(), half + 1, "one too many for half of the bounds");
+    assert_eq!(f.harness.proxy.clients.len(), half + 1, "one too many for half of the bounds");
     let _next = f.successor();
-    assert_eq!(f.w.open_clients(), half);
-    slow.put(&bytes[20..]);
-    let mut cache = f.w.cache();
-    assert_eq!(f.w.command(&mut cache)[1], trace(1));
+    assert_eq!(f.harness.open_clients(), half);
+    slow.write(&bytes[20..]);
+    let mut cache = f.harness.accept_cache();
+    assert_eq!(f.harness.read_command(&mut cache)[1], request_id(1));
 }
 
 /// The process before hangs, with as many at its socket as may wait there: connecting waited without end.
@@ -183,7 +188,7 @@
     rustix::net::listen(&hanging, 0).unwrap();
     let waiting: Vec<_> = (0..10).map_while(|_| mio::net::UnixStream::connect(&name).ok()).collect();
     assert!(waiting.len() < 10, "its queue has an end");
-    let (files, log) = (f.files(), f.w.proxy.log.clone());
+    let (files, log) = (f.files(), f.harness.proxy.log.clone());
     let (done, is_done) = std::sync::mpsc::channel();
     std::thread::spawn(move || done.send(predecessor::find(&files, &log).unwrap().is_none()));
     // Only a hang gets there.
@@ -192,7 +197,7 @@
 
 // ---- new settings ----
 
-impl World {
+impl Harness {
     /// New settings with a change to those that it began with.
     fn resettle(&mut self, name: &str, change: impl FnOnce(&mut serde_json::Value)) {
         let mut config = self.config.clone();
@@ -205,142 +210,142 @@
 /// what it came as, and so does one that came with the new effect.
 #[test]
 fn a_request_keeps_the_effect_that_it_came_with() {
-    let mut w = World::new();
-    let mut client = w.client();
-    client.put(&request(1, 1, "clip"));
-    w.until("a dial", |d| d.pool.iter().any(|l| !l.1.waiting.is_empty()).then_some(()));
-    w.resettle("effect", |s| s["classes"][0]["semantics"] = "at_most_once".into());
-    let mut cache = w.cache();
-    assert_eq!(w.command(&mut cache)[1], trace(1));
-    client.put(&request(2, 2, "clip"));
-    w.until("the new one", |d| (d.requests.len() == 2).then_some(()));
-    w.resettle("effect", |_| {});
+    let mut harness = Harness::new();
+    let mut client = harness.connect_client();
+    client.write(&request(1, 1, "clip"));
+    harness.wait_until("a dial", |proxy| proxy.pool.iter().any(|l| !l.1.waiting.is_empty()).then_some(()));
+    harness.resettle("effect", |s| s["classes"][0]["semantics"] = "at_most_once".into());
+    let mut cache = harness.accept_cache();
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(1));
+    client.write(&request(2, 2, "clip"));
+    harness.wait_until("the new one", |proxy| (proxy.requests.len() == 2).then_some(()));
+    harness.resettle("effect", |_| {});
     drop(cache);
-    let mut peers = vec![w.cache()];
+    let mut peers = vec![harness.accept_cache()];
     // The first is asked for again; the second, that may not run twice, has failed.
-    let (kind, stream, payload) = w.frame(&mut client);
+    let (kind, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((kind, stream, payload[0]), (8, 2, 51));
-    let listener = w.cache.try_clone().unwrap();
-    let at = w.until("the second try", |_| {
+    let listener = harness.cache.try_clone().unwrap();
+    let at = harness.wait_until("the second try", |_| {
         peers.extend(listener.accept().ok().map(|a| Peer::new(a.0)));
         peers.iter_mut().position(|p| {
-            p.pull();
-            command(&mut p.got).is_some_and(|c| c[1] == trace(1))
+            p.read_available();
+            decode_command(&mut p.received).is_some_and(|c| c[1] == request_id(1))
         })
     });
-    peers[at].put(&answer(&trace(1), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
-    assert!(w.proxy.requests.by_id.is_empty() && w.proxy.classes.open_requests() == 0);
+    peers[at].write(&response(&request_id(1), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
+    assert!(harness.proxy.requests.by_id.is_empty() && harness.proxy.classes.open_requests() == 0);
 }
 
 #[test]
 fn fewer_attempts_than_were_made_and_fewer_places_than_are_taken_end_nothing_twice() {
-    let mut w = World::new();
-    let (mut client, cache, _) = w.asked();
+    let mut harness = Harness::new();
+    let (mut client, cache, _) = harness.forward_request();
     drop(cache);
-    let mut cache = w.cache();
-    assert_eq!(w.command(&mut cache)[1], trace(1), "its second attempt");
-    client.put(&request(2, 2, "clip"));
-    w.until("another", |d| (d.requests.len() == 2).then_some(()));
-    w.resettle("fewer", |s| {
+    let mut cache = harness.accept_cache();
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "its second attempt");
+    client.write(&request(2, 2, "clip"));
+    harness.wait_until("another", |proxy| (proxy.requests.len() == 2).then_some(()));
+    harness.resettle("fewer", |s| {
         (s["limits"]["max-attempts"], s["limits"]["max-open"]) = (1.into(), 1.into());
         (s["limits"]["multiplex"], s["limits"]["dial-timeout-us"]) = (1.into(), 1_000.into());
     });
-    client.put(&request(3, 3, "clip"));
-    let (_, stream, payload) = w.frame(&mut client);
+    client.write(&request(3, 3, "clip"));
+    let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (3, 50), "all places are taken");
-    cache.put(&answer(&trace(1), "refused", "-", ""));
-    let (_, stream, payload) = w.frame(&mut client);
+    cache.write(&response(&request_id(1), "refused", "-", ""));
+    let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (1, 50), "no attempt is left");
-    w.skip(1_500 * MILLISECOND);
-    let (_, stream, payload) = w.frame(&mut client);
+    harness.skip(1_500 * MILLISECOND);
+    let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (2, 51));
-    w.silent(&mut client);
+    harness.expect_silence(&mut client);
     assert!(
-        w.proxy.requests.by_id.is_empty()
-            && w.proxy.classes.open_requests() == 0
-            && w.proxy.requests.body_bytes() == 0
+        harness.proxy.requests.by_id.is_empty()
+            && harness.proxy.classes.open_requests() == 0
+            && harness.proxy.requests.body_bytes() == 0
     );
-    assert!(w.proxy.pool.iter().all(|l| l.1.is_idle()));
+    assert!(harness.proxy.pool.iter().all(|l| l.1.is_idle()));
 }
 
 /// Clients hear of new settings 1.2 s after the signal. Until then they are as patient as they were told to be, and
 /// the connection, with all that is open on it, must not end for it.
 #[test]
 fn who_has_not_heard_of_a_shorter_deadline_is_not_turned_away() {
-    let mut w = World::new();
-    let (mut client, mut cache, _) = w.asked();
-    w.resettle("deadline", |s| s["classes"][0]["deadline-us"] = 300_000.into());
-    client.put(&request(2, 2, "clip"));
-    assert_eq!(w.command(&mut cache)[1], trace(2), "1.5 s are more than four times 0.3 s");
+    let mut harness = Harness::new();
+    let (mut client, mut cache, _) = harness.forward_request();
+    harness.resettle("deadline", |s| s["classes"][0]["deadline-us"] = 300_000.into());
+    client.write(&request(2, 2, "clip"));
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(2), "1.5 s are more than four times 0.3 s");
     for number in [1, 2] {
-        cache.put(&answer(&trace(number), "ok", "-", "x"));
-        assert_eq!(w.frame(&mut client).1, number);
+        cache.write(&response(&request_id(number), "ok", "-", "x"));
+        assert_eq!(harness.read_frame(&mut client).1, number);
     }
-    w.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
-    client.put(&request(3, 3, "clip"));
-    assert_eq!(w.frame(&mut client).1, 0, "nobody means that any more");
+    harness.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
+    client.write(&request(3, 3, "clip"));
+    assert_eq!(harness.read_frame(&mut client).1, 0, "nobody means that any more");
 }
 
 /// The same for a class that becomes a keyed one: a client that has not heard sends no key.
 #[test]
 fn who_has_not_heard_that_a_class_wants_a_key_keeps_the_connection() {
-    let mut w = World::new();
-    let (mut client, mut cache, _) = w.asked();
-    w.resettle("keyed", |s| s["classes"][0]["semantics"] = "deduplicated".into());
-    client.put(&request(2, 2, "clip"));
-    let (_, stream, payload) = w.frame(&mut client);
+    let mut harness = Harness::new();
+    let (mut client, mut cache, _) = harness.forward_request();
+    harness.resettle("keyed", |s| s["classes"][0]["semantics"] = "deduplicated".into());
+    client.write(&request(2, 2, "clip"));
+    let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (2, 50));
-    cache.put(&answer(&trace(1), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).1, 1);
+    cache.write(&response(&request_id(1), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).1, 1);
 }
 
 /// Two wait for one dial when the settings come to allow one request a connection.
 #[test]
 fn no_more_are_written_to_a_connection_than_the_settings_allow_by_then() {
-    let mut w = World::new();
-    let mut client = w.client();
-    client.put(&[request(1, 1, "clip"), request(2, 2, "clip")].concat());
-    w.until("a dial", |d| d.pool.iter().any(|l| l.1.waiting.len() == 2).then_some(()));
-    w.resettle("multiplex", |s| s["limits"]["multiplex"] = 1.into());
-    let mut cache = w.cache();
-    w.command(&mut cache);
-    assert!(w.proxy.pool.iter().all(|l| l.1.in_flight.len() <= 1));
+    let mut harness = Harness::new();
+    let mut client = harness.connect_client();
+    client.write(&[request(1, 1, "clip"), request(2, 2, "clip")].concat());
+    harness.wait_until("a dial", |proxy| proxy.pool.iter().any(|l| l.1.waiting.len() == 2).then_some(()));
+    harness.resettle("multiplex", |s| s["limits"]["multiplex"] = 1.into());
+    let mut cache = harness.accept_cache();
+    harness.read_command(&mut cache);
+    assert!(harness.proxy.pool.iter().all(|l| l.1.in_flight.len() <= 1));
 }
 
 /// A class is dropped and comes again as it was, while a request of it is open, and with SIGTERM behind it in one turn.
 #[test]
 fn a_class_dropped_and_there_again_is_the_one_that_it_was() {
-    let mut w = World::new();
-    let (mut client, mut cache, _) = w.asked();
+    let mut harness = Harness::new();
+    let (mut client, mut cache, _) = harness.forward_request();
     let drop_first = |s: &mut serde_json::Value| {
         s["classes"].as_array_mut().unwrap().remove(0);
         for list in ["max-age-us", "stale-for-us", "pass-on"] {
             s["domain"][list].as_array_mut().unwrap().remove(0);
         }
     };
-    w.resettle("again", drop_first);
-    w.resettle("again", |_| {});
-    client.put(&request(2, 2, "clip"));
-    assert_eq!(w.command(&mut cache)[1], trace(2));
-    let numbers: BTreeSet<usize> = w.proxy.requests.by_id.values().map(|o| o.class).collect();
+    harness.resettle("again", drop_first);
+    harness.resettle("again", |_| {});
+    client.write(&request(2, 2, "clip"));
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
+    let numbers: BTreeSet<usize> = harness.proxy.requests.by_id.values().map(|o| o.class).collect();
     assert_eq!(numbers.len(), 1, "one class all the time");
-    w.resettle("again", drop_first);
-    w.proxy.shut_down();
+    harness.resettle("again", drop_first);
+    harness.proxy.shut_down();
     for number in [1, 2] {
-        cache.put(&answer(&trace(number), "ok", "-", "x"));
+        cache.write(&response(&request_id(number), "ok", "-", "x"));
     }
-    let kinds = [0; 3].map(|_| w.frame(&mut client).0);
+    let kinds = [0; 3].map(|_| harness.read_frame(&mut client).0);
     assert_eq!(kinds, [3, 8, 8]);
-    assert_eq!((w.proxy.classes.open_requests(), w.proxy.admin_metrics.concurrent()), (0, 0));
-    w.skip(1_000 * MILLISECOND);
-    assert!(w.proxy.is_drained());
+    assert_eq!((harness.proxy.classes.open_requests(), harness.proxy.admin_metrics.concurrent()), (0, 0));
+    harness.skip(1_000 * MILLISECOND);
+    assert!(harness.proxy.is_drained());
 }
 
 /// A site without zones, with one kind and no bound on open requests; dials longer than any client waits.
 #[test]
 fn a_site_that_leaves_out_what_it_does_not_have_is_served() {
-    let mut w = World::with(|c| {
+    let mut harness = Harness::with(|c| {
         let settings = &mut c["settings"];
         settings["failure-domains"] = serde_json::json!([]);
         let limits = settings["limits"].as_object_mut().unwrap();
@@ -355,19 +360,19 @@
         }
         c["known"]["cmds"][0]["nodes"]["instances"][0].as_object_mut().unwrap().remove("zone");
     });
-    let mut client = w.client();
+    let mut client = harness.connect_client();
     let mut caches = Vec::new();
     for n in 1..=3 {
-        client.put(&request(n, n, "clip"));
-        let mut cache = w.cache();
-        assert_eq!(w.command(&mut cache)[1], trace(n), "one request a connection");
+        client.write(&request(n, n, "clip"));
+        let mut cache = harness.accept_cache();
+        assert_eq!(harness.read_command(&mut cache)[1], request_id(n), "one request a connection");
         caches.push(cache);
     }
     for (cache, n) in caches.iter_mut().zip(1..) {
-        cache.put(&answer(&trace(n), "ok", "-", "x"));
-        assert_eq!(w.frame(&mut client).1, n);
+        cache.write(&response(&request_id(n), "ok", "-", "x"));
+        assert_eq!(harness.read_frame(&mut client).1, n);
     }
-    assert!(w.proxy.requests.by_id.is_empty());
+    assert!(harness.proxy.requests.by_id.is_empty());
 }
 
 // ---- everything at once ----
@@ -392,7 +397,7 @@
 
 /// Clients and endpoints that do what the steps say, and what the module was told at which moment.
 struct Storm {
-    w: World,
+    harness: Harness,
     clients: Vec<Option<(Peer, u32)>>,
     endpoints: Vec<Peer>,
     /// What was asked, by endpoint connection.
@@ -404,37 +409,43 @@
 impl Storm {
     fn new() -> Self {
         let clients = (0..CLIENTS).map(|_| None).collect();
-        let w = World::new();
-        let mut storm =
-            Storm { w, clients, endpoints: Vec::new(), asked: Vec::new(), requests: 0, times: Vec::new() };
+        let harness = Harness::new();
+        let mut storm = Storm {
+            harness,
+            clients,
+            endpoints: Vec::new(),
+            asked: Vec::new(),
+            requests: 0,
+            times: Vec::new(),
+        };
         storm.note();
         storm
     }
 
     /// Whatever the module has been told since was told at this moment.
     fn note(&mut self) {
-        self.times.resize(self.w.events.all().len(), self.w.proxy.now);
+        self.times.resize(self.harness.events.all().len(), self.harness.proxy.now);
     }
 
     fn turn(&mut self) {
-        self.w.proxy.timers.set(0, TimerEvent::AcceptRetry);
-        self.w.proxy.turn().unwrap();
+        self.harness.proxy.timers.set(0, TimerEvent::AcceptRetry);
+        self.harness.proxy.turn().unwrap();
         self.note();
-        for listener in [&self.w.cache, &self.w.origin] {
+        for listener in [&self.harness.cache, &self.harness.origin] {
             while let Ok((stream, _)) = listener.accept() {
                 self.endpoints.push(Peer::new(stream));
             }
         }
         for (n, endpoint) in self.endpoints.iter_mut().enumerate() {
-            endpoint.pull();
-            while let Some(words) = command(&mut endpoint.got) {
+            endpoint.read_available();
+            while let Some(words) = decode_command(&mut endpoint.received) {
                 if words[0] == "want" {
                     self.asked.push((n, words[1].clone()));
                 }
             }
         }
         for (peer, _) in self.clients.iter_mut().flatten() {
-            peer.pull();
+            peer.read_available();
         }
     }
 
@@ -442,7 +453,7 @@
         match step {
             Step::Request { client, class } => {
                 if self.clients[client].is_none() {
-                    self.clients[client] = Some((self.w.client(), 0));
+                    self.clients[client] = Some((self.harness.connect_client(), 0));
                 }
                 let (peer, stream) = self.clients[client].as_mut().unwrap();
                 (*stream, self.requests) = (*stream + 1, self.requests + 1);
@@ -458,7 +469,7 @@
             Step::Close { client } => self.clients[client] = None,
             Step::Answer { which, word, twice } if !self.asked.is_empty() => {
                 let (endpoint, id) = self.asked.remove(which % self.asked.len());
-                let bytes = answer(&id, WORDS[word], "tag=4be0c1927d55a6f3,minted=1", "x");
+                let bytes = response(&id, WORDS[word], "tag=4be0c1927d55a6f3,minted=1", "x");
                 for _ in 0..1 + usize::from(twice) {
                     let _ = self.endpoints[endpoint].stream.write_all(&bytes);
                 }
@@ -472,7 +483,7 @@
                 let which = which % self.endpoints.len();
                 let _ = self.endpoints[which].stream.write_all(b"?!\r\n");
             }
-            Step::Settings { which } => self.w.resettle("storm", |s| match which {
+            Step::Settings { which } => self.harness.resettle("storm", |s| match which {
                 0 => {}
                 1 => s["classes"][0]["semantics"] = "at_most_once".into(),
                 2 => {
@@ -489,15 +500,15 @@
                 }
             }),
             Step::Purge => {
-                self.w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
-                self.w.proxy.process_events();
+                self.harness.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
+                self.harness.proxy.process_events();
             }
-            Step::List { healthy } if self.w.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
-                self.w.relist(|e| {
+            Step::List { healthy } if self.harness.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
+                self.harness.update_cache_entry(|e| {
                     e.state = if healthy { EndpointState::Healthy } else { EndpointState::Draining }
                 });
             }
-            Step::Wait { ms } => self.w.proxy.clock.skip(ms * MILLISECOND),
+            Step::Wait { ms } => self.harness.proxy.clock.skip(ms * MILLISECOND),
             _ => {}
         }
         self.note();
@@ -509,31 +520,31 @@
     /// Lets everybody's patience end, then looks for what is still held.
     fn end(mut self) {
         for _ in 0..16 {
-            self.w.proxy.clock.skip(SWEEP_INTERVAL);
+            self.harness.proxy.clock.skip(SWEEP_INTERVAL);
             self.turn();
         }
-        let d = &self.w.proxy;
-        assert!(d.requests.by_id.is_empty(), "{} requests are open", d.requests.len());
+        let proxy = &self.harness.proxy;
+        assert!(proxy.requests.by_id.is_empty(), "{} requests are open", proxy.requests.len());
         assert_eq!(
-            (d.requests.body_bytes(), d.classes.open_requests(), d.admin_metrics.concurrent()),
+            (proxy.requests.body_bytes(), proxy.classes.open_requests(), proxy.admin_metrics.concurrent()),
             (0, 0, 0)
         );
-        let held = d.pool.iter().map(|l| l.1.in_flight.len() + l.1.waiting.len()).sum::<usize>();
+        let held = proxy.pool.iter().map(|l| l.1.in_flight.len() + l.1.waiting.len()).sum::<usize>();
         assert_eq!(held, 0, "places on connections to depots");
-        assert!(d.clients.values().all(|c| c.open_streams.is_empty()));
+        assert!(proxy.clients.values().all(|c| c.open_streams.is_empty()));
         self.module();
     }
 
     /// The module again, told the same at the same moments: each attempt that it had sent has had its outcome, so that
     /// each place that it counts was given back. Equal seeds and events give equal actions.
     fn module(&self) {
-        let config = Config::parse(&self.w.config.to_string(), "test".into()).unwrap();
+        let config = Config::parse(&self.harness.config.to_string(), "test".into()).unwrap();
         let mut classes = ClassTable::default();
         classes.apply(0, &config.settings);
         let mut router = Router::new(classes.for_router(&config.settings, false), config.seed);
         let mut out: BTreeSet<(Id, u32)> = BTreeSet::new();
         let mut sent: FxHashMap<Id, u32> = FxHashMap::default();
-        for (event, now) in self.w.events.all().iter().zip(&self.times) {
+        for (event, now) in self.harness.events.all().iter().zip(&self.times) {
             if let Event::Outcome(o) = event {
                 assert!(out.remove(&(o.request.clone(), o.attempt)), "an outcome of what is not out: {o:?}");
             }
@@ -591,14 +602,14 @@
 fn who_is_found_gone_while_outcomes_wait_leaves_no_place_taken() {
     for swapped in [false, true] {
         let mut storm = Storm::new();
-        storm.w.resettle("gone", |s| s["classes"][1]["semantics"] = "at_most_once".into());
+        storm.harness.resettle("gone", |s| s["classes"][1]["semantics"] = "at_most_once".into());
         storm.note();
-        let mut client = storm.w.client();
+        let mut client = storm.harness.connect_client();
         let (one, two) = if swapped { ("clip", "page") } else { ("page", "clip") };
         for (n, class) in [(1, one), (2, two), (3, one)] {
-            client.put(&request(n, n, class));
+            client.write(&request(n, n, class));
         }
-        for _ in 0..TURNS {
+        for _ in 0..MAX_TURNS {
             storm.turn();
             if storm.asked.len() == 3 {
                 break;
@@ -606,17 +617,17 @@
         }
         let first = storm.asked[0].0;
         let id: Id = storm.asked[0].1.as_str().into();
-        assert!(storm.w.proxy.requests.contains(&id));
+        assert!(storm.harness.proxy.requests.contains(&id));
         storm.endpoints[first].stream.shutdown(std::net::Shutdown::Both).unwrap();
         // Its close is a reset: the next write to it fails.
         rustix::net::sockopt::set_socket_linger(&client.stream, Some(Duration::ZERO)).unwrap();
         drop(client);
         // The break is heard of before the client's end.
-        let d = &mut storm.w.proxy;
-        let token = *d.pool.iter().find(|l| l.1.in_flight.contains_key(&id)).unwrap().0;
-        let link = d.pool.get_mut(token).unwrap();
+        let proxy = &mut storm.harness.proxy;
+        let token = *proxy.pool.iter().find(|l| l.1.in_flight.contains_key(&id)).unwrap().0;
+        let link = proxy.pool.get_mut(token).unwrap();
         assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "never broke");
-        d.handle_ready(Ready { token, readable: true, writable: false, ended: true });
+        proxy.handle_ready(Ready { token, readable: true, writable: false, ended: true });
         storm.note();
         storm.turn();
         storm.clients.clear();
--- a/src/proxy/tests/purge_log.rs
+++ b/src/proxy/tests/purge_log.rs
@@ -13,33 +13,34 @@
 }
 
 /// One whose log is followed and vouched for, with its registry.
-pub(super) fn vouching() -> (World, Registry) {
-    let mut w = World::new();
+pub(super) fn vouching() -> (Harness, Registry) {
+    let mut harness = Harness::new();
     let registry = Registry::start(1).unwrap();
     let purge_log = Some(Settings::new(registry.addresses.clone(), "/purges/"));
-    w.proxy.start_fleet(&Product { purge_log, ..Product::default() }, 1).unwrap();
-    w.until("the log", |d| d.purge_log().is_some_and(|log| log.is_current()).then_some(()));
-    (w, registry)
+    harness.proxy.start_fleet(&Product { purge_log, ..Product::default() }, 1).unwrap();
+    harness
+        .wait_until("the log", |proxy| proxy.purge_log().is_some_and(|log| log.is_current()).then_some(()));
+    (harness, registry)
 }
 
 #[test]
 fn what_is_asked_while_nothing_can_be_vouched_for_names_the_bound_as_the_oldest_age() {
-    let mut w = World::new();
-    cut_off(&mut w.proxy);
-    let mut client = w.client();
-    client.put(&request(1, 1, "clip"));
-    let mut cache = w.cache();
-    let want = w.command(&mut cache);
+    let mut harness = Harness::new();
+    cut_off(&mut harness.proxy);
+    let mut client = harness.connect_client();
+    client.write(&request(1, 1, "clip"));
+    let mut cache = harness.accept_cache();
+    let want = harness.read_command(&mut cache);
     assert!(want[2].contains("fresh=1000"), "{want:?}");
 }
 
 #[test]
 fn copies_of_the_instances_own_are_neither_served_nor_kept_while_nothing_can_be_vouched_for() {
-    let (mut w, mut channel) = with_copies();
-    let (mut client, mut cache, now) = (w.client(), None, unix_ms());
-    tells(&mut w, &mut channel, None);
-    let asked: Vec<bool> = (1..=3).map(|n| asks(&mut w, &mut client, &mut cache, n, now)).collect();
+    let (mut harness, mut channel) = with_copies();
+    let (mut client, mut cache, now) = (harness.connect_client(), None, unix_ms());
+    tells(&mut harness, &mut channel, None);
+    let asked: Vec<bool> = (1..=3).map(|n| asks(&mut harness, &mut client, &mut cache, n, now)).collect();
     assert_eq!(asked, [true, true, false], "kept at the second time");
-    cut_off(&mut w.proxy);
-    assert!(asks(&mut w, &mut client, &mut cache, 4, now), "a purge of it may not have been heard");
+    cut_off(&mut harness.proxy);
+    assert!(asks(&mut harness, &mut client, &mut cache, 4, now), "a purge of it may not have been heard");
 }
--- a/src/proxy/tests/system_calls.rs
+++ b/src/proxy/tests/system_calls.rs
@@ -9,10 +9,10 @@
 struct Refusals(Rc<RefCell<VecDeque<Errno>>>);
 
 impl Refusals {
-    fn injected(w: &mut World) -> Self {
+    fn injected(harness: &mut Harness) -> Self {
         let refusals = Refusals::default();
         let next = refusals.0.clone();
-        w.proxy.event_loop.inject_faults(Box::new(move || Some(next.borrow_mut().pop_front()?.into())));
+        harness.proxy.event_loop.inject_faults(Box::new(move || Some(next.borrow_mut().pop_front()?.into())));
         refusals
     }
 
@@ -30,14 +30,14 @@
 #[test]
 fn a_connection_that_the_poll_can_not_take_yet_is_kept() {
     for errno in [Errno::NOMEM, Errno::NOSPC] {
-        let mut w = World::new();
-        Refusals::injected(&mut w).extend([errno; 3]);
-        let mut client = w.client();
-        client.put(&request(1, 1, "clip"));
-        let mut cache = w.cache();
-        assert_eq!(w.command(&mut cache)[1], trace(1), "{errno:?}");
-        cache.put(&answer(&trace(1), "ok", "-", "x"));
-        assert_eq!(w.frame(&mut client), (8, 1, b"\x14\x00x".to_vec()), "{errno:?}");
+        let mut harness = Harness::new();
+        Refusals::injected(&mut harness).extend([errno; 3]);
+        let mut client = harness.connect_client();
+        client.write(&request(1, 1, "clip"));
+        let mut cache = harness.accept_cache();
+        assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "{errno:?}");
+        cache.write(&response(&request_id(1), "ok", "-", "x"));
+        assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x00x".to_vec()), "{errno:?}");
     }
 }
 
@@ -57,28 +57,32 @@
     ];
     for errno in errors {
         for route in ["clip", "edit"] {
-            let mut w = World::new();
+            let mut harness = Harness::new();
             // The channel is dialed already: its dial would take an idle client's descriptor.
-            let _channel = w.accept(|w| &w.channel);
-            let mut client = w.client();
-            w.until("the client", |d| (d.clients.len() == 1).then_some(()));
-            let refusals = Refusals::injected(&mut w);
+            let _channel = harness.accept(|harness| &harness.channel);
+            let mut client = harness.connect_client();
+            harness.wait_until("the client", |proxy| (proxy.clients.len() == 1).then_some(()));
+            let refusals = Refusals::injected(&mut harness);
             refusals.extend([errno; 12]);
             let nonce: &[(&str, &str)] = &[("nonce", "5c0f6e1a2b3d4c59")];
-            client.put(&request_with(1, 1, route, if route == "edit" { nonce } else { &[] }));
-            let (kind, stream, payload) = w.frame(&mut client);
+            client.write(&request_with(1, 1, route, if route == "edit" { nonce } else { &[] }));
+            let (kind, stream, payload) = harness.read_frame(&mut client);
             assert_eq!(
                 (kind, stream, payload[0]),
                 (8, 1, 50),
                 "{errno:?} {route}: nothing ran, a try does no harm"
             );
             refusals.clear();
-            w.skip(1_500 * MILLISECOND);
+            harness.skip(1_500 * MILLISECOND);
             // The seam refuses what the system had connected already.
-            while w.cache.accept().is_ok() || w.origin.accept().is_ok() {}
-            client.put(&request_with(2, 2, route, if route == "edit" { nonce } else { &[] }));
-            let mut endpoint = w.accept(if route == "edit" { |w| &w.origin } else { |w| &w.cache });
-            assert_eq!(w.command(&mut endpoint)[1], trace(2), "{errno:?} {route}");
+            while harness.cache.accept().is_ok() || harness.origin.accept().is_ok() {}
+            client.write(&request_with(2, 2, route, if route == "edit" { nonce } else { &[] }));
+            let mut endpoint = harness.accept(if route == "edit" {
+                |harness| &harness.origin
+            } else {
+                |harness| &harness.cache
+            });
+            assert_eq!(harness.read_command(&mut endpoint)[1], request_id(2), "{errno:?} {route}");
         }
     }
 }
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -9,22 +9,22 @@
 }
 
 /// An instance on a machine whose wall clock is off by so much, with a cache that started just now.
-fn off_by(error_ms: i64, change: impl FnOnce(&mut serde_json::Value)) -> World {
-    World::with_clock(Clock::start_off_by(error_ms), |config| {
+fn off_by(error_ms: i64, change: impl FnOnce(&mut serde_json::Value)) -> Harness {
+    Harness::with_clock(Clock::start_off_by(error_ms), |config| {
         config["known"]["cmds"][0]["nodes"]["instances"][0]["startedAtMs"] = unix_ms().into();
         change(config);
     })
 }
 
 /// The start of the cache as the module has been told last.
-fn told_start(w: &World) -> Micros {
+fn told_start(harness: &Harness) -> Micros {
     let of_cache = |e: &Event| match e {
         Event::Endpoints { endpoints: members, .. } => {
             members.iter().find(|m| &*m.id == CACHE).map(|m| m.started_at)
         }
         _ => None,
     };
-    w.events.all().iter().rev().find_map(of_cache).expect("the cache was listed")
+    harness.events.all().iter().rev().find_map(of_cache).expect("the cache was listed")
 }
 
 /// Slow start binds from a start on, whatever the wall clock says. Seen failing with an hour ahead (an endpoint of long
@@ -32,8 +32,8 @@
 #[test]
 fn a_cold_endpoint_is_cold_for_its_ramp_whatever_the_wall_clock_says() {
     for error_ms in [-HOUR_MS, -5_000, 0, 5_000, HOUR_MS] {
-        let w = off_by(error_ms, |_| {});
-        let age = w.proxy.now as i64 - told_start(&w) as i64;
+        let harness = off_by(error_ms, |_| {});
+        let age = harness.proxy.now as i64 - told_start(&harness) as i64;
         assert!((0..1_000_000).contains(&age), "off by {error_ms} ms: {age} us old");
     }
 }
@@ -42,12 +42,12 @@
 /// one that goes back is a start of now.
 #[test]
 fn a_start_told_again_keeps_its_moment_and_one_that_goes_back_is_new() {
-    let mut w = off_by(0, |_| {});
-    let first = told_start(&w);
-    let again = |w: &mut World, started_ms: u64| {
+    let mut harness = off_by(0, |_| {});
+    let first = told_start(&harness);
+    let again = |harness: &mut Harness, started_ms: u64| {
         let record = Record {
             id: CACHE.to_owned(),
-            address: w.cache.local_addr().unwrap(),
+            address: harness.cache.local_addr().unwrap(),
             state: RecordState::Ready,
             zone: 0,
             kind: 0,
@@ -55,20 +55,20 @@
             weight: 30.0,
             started_ms,
         };
-        w.proxy.apply_endpoints(false, vec![record]);
-        w.proxy.process_events();
+        harness.proxy.apply_endpoints(false, vec![record]);
+        harness.proxy.process_events();
     };
     let told_ms = unix_ms() + 3_000;
-    w.skip(3_000 * MILLISECOND);
-    again(&mut w, told_ms);
-    let second = told_start(&w);
+    harness.skip(3_000 * MILLISECOND);
+    again(&mut harness, told_ms);
+    let second = told_start(&harness);
     assert!(second >= first + 2_900 * MILLISECOND, "a new start");
-    w.skip(3_000 * MILLISECOND);
-    again(&mut w, told_ms);
-    assert_eq!(told_start(&w), second);
-    w.skip(60_000 * MILLISECOND);
-    again(&mut w, told_ms - 3_540_000);
-    assert_eq!(told_start(&w), w.proxy.now, "their clock was stepped back by an hour");
+    harness.skip(3_000 * MILLISECOND);
+    again(&mut harness, told_ms);
+    assert_eq!(told_start(&harness), second);
+    harness.skip(60_000 * MILLISECOND);
+    again(&mut harness, told_ms - 3_540_000);
+    assert_eq!(told_start(&harness), harness.proxy.now, "their clock was stepped back by an hour");
 }
 
 /// A purge is never taken for older than it is: an attempt after it accepts no copy from before it. Seen failing with
@@ -76,14 +76,14 @@
 #[test]
 fn a_purge_is_never_taken_for_older_than_it_is() {
     for error_ms in [-HOUR_MS, 0, HOUR_MS] {
-        let mut w = off_by(error_ms, |_| {});
-        w.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
-        w.proxy.process_events();
-        w.skip(600 * MILLISECOND);
-        let mut client = w.client();
-        client.put(&request(1, 1, "page"));
-        let mut cache = w.cache();
-        let want = w.command(&mut cache);
+        let mut harness = off_by(error_ms, |_| {});
+        harness.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
+        harness.proxy.process_events();
+        harness.skip(600 * MILLISECOND);
+        let mut client = harness.connect_client();
+        client.write(&request(1, 1, "page"));
+        let mut cache = harness.accept_cache();
+        let want = harness.read_command(&mut cache);
         let fresh = want[2].split(',').find_map(|f| f.strip_prefix("fresh=")).unwrap();
         assert!(fresh.parse::<u64>().unwrap() < 2_000, "off by {error_ms} ms: {}", want[2]);
     }
@@ -92,12 +92,12 @@
 /// No copy of the instance's own is served that is too old, though the wall clock was behind at the start.
 #[test]
 fn with_the_wall_clock_behind_no_copy_of_its_own_is_served_too_old() {
-    let (mut w, mut channel) = local_cache::with_copies_by(Clock::start_off_by(-HOUR_MS));
-    let (mut client, mut cache) = (w.client(), None);
+    let (mut harness, mut channel) = local_cache::with_copies_by(Clock::start_off_by(-HOUR_MS));
+    let (mut client, mut cache) = (harness.connect_client(), None);
     let minted = unix_ms() - 30_000;
-    local_cache::tells(&mut w, &mut channel, None);
+    local_cache::tells(&mut harness, &mut channel, None);
     for number in 1..=4 {
-        let asked = local_cache::asks_for(&mut w, &mut client, &mut cache, number, minted, "page");
+        let asked = local_cache::asks_for(&mut harness, &mut client, &mut cache, number, minted, "page");
         assert!(asked, "{number}: a copy of 30 s where 22 s may be");
     }
 }
