--- a/src/proxy/tests.rs
+++ b/src/proxy/tests.rs
@@ -279,8 +279,8 @@
         self.events.all().iter().filter_map(outcome).collect()
     }
 
-    /// Sends a request from a new client and accepts the upstream connection on which the cache receives it. Returns the
-    /// client, the cache's end of the connection and the arguments of the received command.
+    /// Sends a request from a new client and accepts the upstream connection on which the cache receives it.
+    /// Returns the client, the cache's end of the connection and the arguments of the received command.
     fn forward_request(&mut self) -> (Peer, Peer, Vec<String>) {
         let mut client = self.connect_client();
         client.write(&request(1, 1, "clip"));
--- a/src/proxy/tests/admin.rs
+++ b/src/proxy/tests/admin.rs
@@ -1,23 +1,24 @@
-//! The admin endpoint and what operators read there.
+//! The admin endpoint: commands, status and metrics.
 
 use super::*;
 
 impl Harness {
-    pub(super) fn caller(&mut self) -> Peer {
+    pub(super) fn connect_admin(&mut self) -> Peer {
         let address = self.proxy.admin.as_ref().unwrap().listener.local_addr().unwrap();
         Peer::new(StdStream::connect(address).unwrap())
     }
 
-    /// All that a caller is answered, up to the close.
-    pub(super) fn told(&mut self, caller: &mut Peer) -> String {
+    /// Waits for the end of an admin connection and returns all that was received on it.
+    pub(super) fn admin_response(&mut self, caller: &mut Peer) -> String {
         self.expect_end(caller);
         String::from_utf8(caller.received.to_vec()).unwrap()
     }
 
+    /// Sends one line to the admin endpoint and returns the response.
     pub(super) fn call(&mut self, line: &str) -> String {
-        let mut caller = self.caller();
+        let mut caller = self.connect_admin();
         caller.write(line.as_bytes());
-        self.told(&mut caller)
+        self.admin_response(&mut caller)
     }
 }
 
@@ -32,33 +33,34 @@
             "{answer}"
         );
     }
-    // In pieces; and one who closes its half behind the line still hears.
-    let mut caller = harness.caller();
+    // A command that arrives in pieces is answered, also when the caller shuts down its write side after the line.
+    let mut caller = harness.connect_admin();
     for byte in b"status\n" {
         caller.write(&[*byte]);
         harness.proxy.turn().unwrap();
     }
     caller.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(harness.told(&mut caller), "done serving\n");
-    // Half a call and a close is no call.
-    let mut caller = harness.caller();
+    assert_eq!(harness.admin_response(&mut caller), "done serving\n");
+    // A line that is cut off by the close is not executed.
+    let mut caller = harness.connect_admin();
     caller.write(b"standby");
     caller.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(harness.told(&mut caller), "");
+    assert_eq!(harness.admin_response(&mut caller), "");
     assert_eq!(harness.call("status\nstandby\n"), "done serving\n");
     assert_eq!(harness.call("status\n"), "done serving\n");
 }
 
 #[test]
-fn silent_admin_connections_and_clients_keep_no_operator_out() {
+fn idle_admin_connections_and_clients_do_not_block_admin_calls() {
     let mut harness = Harness::new();
-    // One whose coming no event tells of, as after an accept without a descriptor, is found by the sweep.
-    let mut unseen = harness.caller();
+    // The sweep accepts a connection for which no readiness event arrives, as after an accept that failed for lack of
+    // a descriptor.
+    let mut pending = harness.connect_admin();
     harness.proxy.sweep();
     assert_eq!(harness.proxy.admin.as_ref().unwrap().clients.len(), 1);
-    unseen.write(b"status\n");
-    assert_eq!(harness.told(&mut unseen), "done serving\n");
-    let silent: Vec<Peer> = (0..40).map(|_| harness.caller()).collect();
+    pending.write(b"status\n");
+    assert_eq!(harness.admin_response(&mut pending), "done serving\n");
+    let silent: Vec<Peer> = (0..40).map(|_| harness.connect_admin()).collect();
     let clients: Vec<Peer> = (0..40).map(|_| harness.connect_client()).collect();
     assert_eq!(harness.call("status\n"), "done serving\n");
     harness.skip(crate::admin::PATIENCE + SWEEP_INTERVAL);
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn metrics_count_each_request_once_and_attempts_when_written() {
+fn metrics_count_each_request_once_and_each_attempt_when_it_is_written() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     let stats = harness.call("stats\n");
@@ -86,7 +88,7 @@
     client.write(&request(2, 2, "page"));
     harness.read_command(&mut cache);
     client.write(&frame(9, 2, &[]));
-    harness.wait_until("the client's leaving", |proxy| (proxy.admin_metrics.concurrent() == 0).then_some(()));
+    harness.wait_until("the cancellation", |proxy| (proxy.admin_metrics.concurrent() == 0).then_some(()));
     let stats = harness.call("stats\n");
     for line in [
         "proxy_replies_total{type=\"clip\",status=\"success\"} 1\n",
--- a/src/proxy/tests/configuration.rs
+++ b/src/proxy/tests/configuration.rs
@@ -1,25 +1,25 @@
-//! Reloads of the configuration.
+//! Configuration reloads.
 
 use super::*;
 
 impl Harness {
-    /// Puts a configuration in place and has the instance read it; whether it was taken over.
+    /// Writes a configuration file and reloads it; returns whether it was applied.
     pub(super) fn reconfigure(&mut self, name: &str, text: &str) -> bool {
         let path = std::env::temp_dir().join(format!("larchdale-{}-{name}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         self.proxy.configuration.path = path.clone();
-        let [taken, turned_down] = self.proxy.admin_metrics.reloads;
+        let [applied, rejected] = self.proxy.admin_metrics.reloads;
         self.proxy.reload();
         self.proxy.process_events();
         std::fs::remove_file(path).unwrap();
         let now = self.proxy.admin_metrics.reloads;
-        assert_eq!(now[0] + now[1], taken + turned_down + 1, "each file is counted once");
-        now[0] > taken
+        assert_eq!(now[0] + now[1], applied + rejected + 1, "each reload is counted once");
+        now[0] > applied
     }
 }
 
 #[test]
-fn a_reload_adds_and_drops_classes_while_requests_of_both_are_open() {
+fn a_reload_adds_and_drops_classes_while_requests_are_open() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     let mut config = harness.config.clone();
@@ -28,7 +28,7 @@
     new["name"] = "late-edit".into();
     classes.push(new);
     classes.remove(0);
-    // Its place is now another's, and fewer attempts are left to all.
+    // The lists by class move up with the classes, and every request is limited to one attempt.
     for list in ["max-age-us", "stale-for-us", "pass-on"] {
         let list = config["settings"]["domain"][list].as_array_mut().unwrap();
         list.push(list[2].clone());
@@ -36,10 +36,11 @@
     }
     config["settings"]["limits"]["max-attempts"] = 1.into();
     assert!(harness.reconfigure("classes", &config.to_string()));
-    // The open one is answered as what it came as, and counted as that.
+    // The open request is answered and counted with the class that it arrived with.
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
-    // Clients have not heard yet: still served. Then refused on its stream, and nothing else ends.
+    // Clients do not know the new configuration yet: the dropped class is still served. Later its requests
+    // are rejected one by one, and the connection stays open.
     client.write(&request(2, 2, "clip"));
     assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
     cache.write(&response(&request_id(2), "ok", "-", "x"));
@@ -50,9 +51,9 @@
     let edit = |stream, number| request_with(stream, number, "late-edit", &[("nonce", "0c")]);
     client.write(&edit(4, 4));
     let mut origin = harness.accept(|harness| &harness.origin);
-    let want = harness.read_command(&mut origin);
-    assert!(want[1] == request_id(4) && has_field(&want, "c=late-edit"), "{want:?}");
-    // One attempt is all that there is now.
+    let command = harness.read_command(&mut origin);
+    assert!(command[1] == request_id(4) && has_field(&command, "c=late-edit"), "{command:?}");
+    // The new limit is one attempt.
     origin.write(&response(&request_id(4), "refused", "-", ""));
     assert_eq!(harness.read_frame(&mut client).2[0], 50);
     let stats = harness.call("stats\n");
@@ -67,13 +68,13 @@
     harness.skip(crate::config::settings::DROPPED_CLASS_KNOWN_FOR_US);
     let mut other = harness.connect_client();
     other.write(&request(1, 5, "clip"));
-    assert_eq!(harness.read_frame(&mut other).1, 0, "no class any more");
+    assert_eq!(harness.read_frame(&mut other).1, 0, "the class is unknown");
 }
 
 #[test]
 fn an_unusable_configuration_file_changes_nothing() {
     let mut harness = Harness::new();
-    let whole = harness.config.to_string();
+    let original = harness.config.to_string();
     let (channel, settings) =
         (harness.proxy.discovery.command_channel.address(), harness.proxy.settings.clone());
     let mut changed = harness.config.clone();
@@ -81,27 +82,28 @@
     let text = changed.to_string();
     let deadline = |to: &str| text.replace("\"deadline-us\":6000000", &format!("\"deadline-us\":{to}"));
     let attempts = |to: &str| text.replace("\"max-attempts\":6", &format!("\"max-attempts\":{to}"));
-    let mut bad = vec![String::new(), text[..text.len() - 1].to_owned(), text[..text.len() / 2].to_owned()];
+    let mut invalid =
+        vec![String::new(), text[..text.len() - 1].to_owned(), text[..text.len() / 2].to_owned()];
     for value in ["0", "-5", "null", "\"6\"", "1e99", "NaN", "[]", "99999999999999999999", "1.5", "true"] {
-        bad.extend([deadline(value), attempts(value)]);
+        invalid.extend([deadline(value), attempts(value)]);
     }
     for key in ["listen", "seed", "channel", "settings", "limits"] {
-        let mut less = changed.clone();
-        less.as_object_mut().unwrap().remove(key);
-        bad.push(less.to_string());
+        let mut incomplete = changed.clone();
+        incomplete.as_object_mut().unwrap().remove(key);
+        invalid.push(incomplete.to_string());
     }
     for (within, key) in [("limits", "max-attempts"), ("domain", "pass-on"), ("rules", "fall-us")] {
-        let mut less = changed.clone();
-        less["settings"][within].as_object_mut().unwrap().remove(key);
-        bad.push(less.to_string());
+        let mut incomplete = changed.clone();
+        incomplete["settings"][within].as_object_mut().unwrap().remove(key);
+        invalid.push(incomplete.to_string());
     }
-    let mut less = changed.clone();
-    less["settings"]["classes"][1].as_object_mut().unwrap().remove("deadline-us");
-    bad.push(less.to_string());
+    let mut incomplete = changed.clone();
+    incomplete["settings"]["classes"][1].as_object_mut().unwrap().remove("deadline-us");
+    invalid.push(incomplete.to_string());
     let mut other = changed.clone();
     other["settings"]["zone"] = 1.into();
-    bad.push(other.to_string());
-    for text in &bad {
+    invalid.push(other.to_string());
+    for text in &invalid {
         assert!(!harness.reconfigure("bad", text), "{text}");
     }
     assert_eq!(
@@ -109,6 +111,6 @@
         (channel, &settings)
     );
     assert!(!harness.events.all().iter().any(|e| matches!(e, Event::Settings(_))));
-    assert!(harness.call("stats\n").contains(&format!("reload_failure_total {}\n", bad.len())));
-    assert!(harness.reconfigure("whole", &whole), "the file that it started with is one to take over");
+    assert!(harness.call("stats\n").contains(&format!("reload_failure_total {}\n", invalid.len())));
+    assert!(harness.reconfigure("whole", &original), "the original configuration is still accepted");
 }
--- a/src/proxy/tests/draining.rs
+++ b/src/proxy/tests/draining.rs
@@ -1,29 +1,29 @@
-//! Readiness, standby and the end of the process.
+//! Readiness, standby and shutdown.
 
 use super::*;
 
 #[test]
-fn without_endpoints_or_while_stopping_it_is_not_ready() {
+fn an_instance_without_endpoints_or_shutting_down_is_not_ready() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
-    let ask = frame(1, 0, &fields(&[]));
-    client.write(&ask);
+    let readiness_check = frame(1, 0, &fields(&[]));
+    client.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut client), (2, 0, vec![20, 0]));
     harness.proxy.shut_down();
     assert_eq!(harness.read_frame(&mut client).0, 3);
-    client.write(&ask);
+    client.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut client), (2, 0, vec![50, 0]));
     let mut harness = Harness::new();
     harness.update_cache_entry(|e| e.state = EndpointState::Removed);
     harness.proxy.discovery.endpoint_list.remove(harness.proxy.now, ORIGIN);
     harness.proxy.announce_endpoints(usize::MAX);
     let mut client = harness.connect_client();
-    client.write(&ask);
+    client.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut client), (2, 0, vec![50, 0]));
 }
 
 #[test]
-fn after_sigterm_requests_in_time_are_served_and_the_program_ends() {
+fn requests_that_arrive_soon_after_sigterm_are_served_before_the_process_ends() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     harness.proxy.shut_down();
@@ -32,7 +32,7 @@
     late.write(&request(1, 2, "clip"));
     assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
     harness.skip(1_000 * MILLISECOND);
-    assert!(!harness.proxy.is_drained(), "two answers are owed");
+    assert!(!harness.proxy.is_drained(), "two responses are pending");
     for number in [1, 2] {
         cache.write(&response(&request_id(number), "ok", "-", "x"));
     }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_drain_fails_what_no_endpoint_answers_before_the_process_may_be_killed() {
+fn a_drain_fails_open_requests_before_the_process_may_be_killed() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn standby_drains_without_losing_a_request_and_active_takes_clients_again() {
+fn standby_drains_without_losing_a_request_and_active_accepts_clients_again() {
     let mut harness = Harness::new();
     let (mut busy, mut cache, _) = harness.forward_request();
     let mut idle = harness.connect_client();
@@ -66,11 +66,11 @@
     assert_eq!(harness.call("standby\n"), "done standby\n");
     assert_eq!(harness.call("status\n"), "error not serving: standby\n");
     assert_eq!((harness.read_frame(&mut busy).0, harness.read_frame(&mut idle).0), (3, 3));
-    // What still comes is served, and its connection then closed as the others are.
+    // Requests that still arrive are served; their connections are then closed like the others.
     let mut late = harness.connect_client();
     late.write(&frame(1, 6, &[0]));
-    let answer_late = harness.read_frame(&mut late);
-    assert!(answer_late.0 == 2 && answer_late.2[0] != 20, "{answer_late:?}");
+    let late_readiness = harness.read_frame(&mut late);
+    assert!(late_readiness.0 == 2 && late_readiness.2[0] != 20, "{late_readiness:?}");
     late.write(&request(7, 2, "clip"));
     harness.read_command(&mut cache);
     harness.skip(crate::lifecycle::LEAVING_IDLE_TIMEOUT + SWEEP_INTERVAL);
@@ -85,11 +85,11 @@
     harness.skip(crate::lifecycle::LEAVING_IDLE_TIMEOUT + SWEEP_INTERVAL);
     harness.expect_end(&mut busy);
     harness.expect_end(&mut late);
-    // New settings are taken over meanwhile, and change nothing about it.
+    // New settings are applied during standby and do not end it.
     let same = harness.config.to_string();
     assert!(harness.reconfigure("standby", &same));
     assert_eq!(harness.call("status\n"), "error not serving: standby\n");
-    // Much later a request is refused at once, and its connection closed.
+    // Much later a request is rejected at once and its connection is told that the instance is going away.
     harness.skip(2_000 * MILLISECOND);
     let mut last = harness.connect_client();
     last.write(&request(1, 3, "clip"));
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -1,55 +1,56 @@
-//! Two processes of one instance.
+//! Takeover: two processes of one instance share its bounds and state.
 
 use super::*;
 
 #[test]
-fn two_processes_have_half_of_the_bounds_each() {
+fn two_processes_of_one_instance_have_half_of_the_bounds_each() {
     let folder = std::env::temp_dir().join(format!("larchdale-{}-beside", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut harness = Harness::new();
-    let who = Identity { name: "t".into(), listen: harness.proxy.configuration.listen };
-    let files = TakeoverFiles::new(folder.clone(), who.clone());
+    let identity = Identity { name: "t".into(), listen: harness.proxy.configuration.listen };
+    let files = TakeoverFiles::new(folder.clone(), identity.clone());
     harness.proxy.takeover = Some(Takeover::new(files, None, false, &mut harness.proxy.event_loop));
     harness.proxy.begin_serving();
-    let alone = harness.proxy.bounds;
+    let full_bounds = harness.proxy.bounds;
     let recorded = harness.events.clone();
     let processes = || {
         let events = recorded.all();
-        let told = events.iter().rev();
-        told.filter_map(|e| if let Event::Settings(s) = e { Some(s.processes) } else { None }).next()
+        let latest_first = events.iter().rev();
+        latest_first.filter_map(|e| if let Event::Settings(s) = e { Some(s.processes) } else { None }).next()
     };
-    let name = std::fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
-    let mut successor = std::os::unix::net::UnixStream::connect(&name).unwrap();
-    successor.write_all(&crate::takeover::encode_line(&crate::takeover::hello(who))).unwrap();
+    let socket_path = std::fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
+    let mut successor = std::os::unix::net::UnixStream::connect(&socket_path).unwrap();
+    successor.write_all(&crate::takeover::encode_line(&crate::takeover::hello(identity))).unwrap();
     harness.wait_until("an offer", |proxy| proxy.has_other_process().then_some(()));
     assert_eq!(processes(), Some(2));
-    let half = harness.proxy.bounds;
-    assert!(2 * half.clients <= alone.clients && 2 * half.upstream <= alone.upstream + 1);
+    let halved = harness.proxy.bounds;
+    assert!(2 * halved.clients <= full_bounds.clients && 2 * halved.upstream <= full_bounds.upstream + 1);
     assert!(
-        2 * half.client_buffers <= alone.client_buffers && 2 * half.request_bodies <= alone.request_bodies
+        2 * halved.client_buffers <= full_bounds.client_buffers
+            && 2 * halved.request_bodies <= full_bounds.request_bodies
     );
-    assert!(harness.proxy.lifecycle.takes_clients(), "until the other one does");
+    assert!(harness.proxy.lifecycle.takes_clients(), "this process accepts clients until the successor does");
     drop(successor);
-    harness.wait_until("its end", |proxy| (!proxy.has_other_process()).then_some(()));
-    assert_eq!((processes(), harness.proxy.bounds), (Some(1), alone));
+    harness.wait_until("the end of the successor", |proxy| (!proxy.has_other_process()).then_some(()));
+    assert_eq!((processes(), harness.proxy.bounds), (Some(1), full_bounds));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn standby_before_the_endpoint_list_does_not_hide_the_process_from_its_successor() {
+fn standby_before_the_first_endpoint_list_does_not_hide_the_process_from_its_successor() {
     let folder = std::env::temp_dir().join(format!("larchdale-{}-late-list", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut harness = Harness::new();
     harness.update_cache_entry(|e| e.state = EndpointState::Removed);
     harness.proxy.discovery.endpoint_list.remove(harness.proxy.now, ORIGIN);
     harness.proxy.announce_endpoints(usize::MAX);
-    let who = Identity { name: "t".into(), listen: harness.proxy.configuration.listen };
-    let files = TakeoverFiles::new(folder.clone(), who);
+    let identity = Identity { name: "t".into(), listen: harness.proxy.configuration.listen };
+    let files = TakeoverFiles::new(folder.clone(), identity);
     harness.proxy.takeover = Some(Takeover::new(files, None, false, &mut harness.proxy.event_loop));
     assert_eq!(harness.call("status\n"), "error not serving: starting\n");
     assert_eq!(harness.call("standby\n"), "done standby\n");
-    let config = harness.config["known"]["cmds"][0]["nodes"].clone();
-    let known = serde_json::json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": config}]});
+    let nodes = harness.config["known"]["cmds"][0]["nodes"].clone();
+    let known = serde_json::json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
     let text = {
         let mut c = harness.config.clone();
         c["known"] = known;
@@ -58,46 +59,48 @@
     for command in Config::parse(&text, "test".into()).unwrap().known {
         harness.proxy.execute(command);
     }
-    assert!(std::fs::read_dir(&folder).unwrap().next().is_none(), "it takes no clients yet");
+    assert!(std::fs::read_dir(&folder).unwrap().next().is_none(), "the process accepts no clients yet");
     assert_eq!(harness.call("active\n"), "done serving\n");
     assert!(std::fs::read_dir(&folder).unwrap().next().is_some());
-    // One who knocks and says nothing does not keep its place.
-    let name = std::fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
-    let mut silent = std::os::unix::net::UnixStream::connect(&name).unwrap();
+    // A connection to the takeover socket that sends nothing is closed after a timeout.
+    let socket_path = std::fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
+    let mut silent = std::os::unix::net::UnixStream::connect(&socket_path).unwrap();
     silent.set_nonblocking(true).unwrap();
     harness.wait_until("a sweep", |proxy| {
         proxy.sweep();
         Some(())
     });
     harness.skip(2_000 * MILLISECOND + SWEEP_INTERVAL);
-    harness.wait_until("its end", |_| silent.read(&mut [0]).ok().filter(|n| *n == 0).map(|_| ()));
+    harness.wait_until("the end of the connection", |_| {
+        silent.read(&mut [0]).ok().filter(|n| *n == 0).map(|_| ())
+    });
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn purges_in_force_are_handed_over_with_their_age() {
+fn purges_in_force_are_handed_to_the_successor_with_their_age() {
     let folder = std::env::temp_dir().join(format!("larchdale-{}-purges", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // The wall clock was stepped by an hour before the next process started.
+    // The wall clock was stepped by one hour before the successor started.
     let (mut old, mut new) = (Harness::new(), Harness::with_clock(Clock::start_off_by(3_600_000), |_| {}));
-    let who = Identity { name: "t".into(), listen: old.proxy.configuration.listen };
-    let files = || TakeoverFiles::new(folder.clone(), who.clone());
+    let identity = Identity { name: "t".into(), listen: old.proxy.configuration.listen };
+    let files = || TakeoverFiles::new(folder.clone(), identity.clone());
     old.proxy.takeover = Some(Takeover::new(files(), None, false, &mut old.proxy.event_loop));
     old.proxy.begin_serving();
     let when_ms = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis() as u64;
     old.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms });
     old.skip(3_000 * MILLISECOND);
-    let (asking, log) = (files(), old.proxy.log.clone());
-    let asks = std::thread::spawn(move || predecessor::find(&asking, &log).unwrap());
+    let (successor_files, log) = (files(), old.proxy.log.clone());
+    let search = std::thread::spawn(move || predecessor::find(&successor_files, &log).unwrap());
     old.wait_until("the next process", |proxy| proxy.has_other_process().then_some(()));
-    let found = asks.join().unwrap();
+    let found = search.join().unwrap();
     assert!(found.is_some());
     new.proxy.takeover = Some(Takeover::new(files(), found, false, &mut new.proxy.event_loop));
     new.proxy.inherit_state();
     new.proxy.process_events();
-    let told = new.events.all().iter().any(
+    let purge_received = new.events.all().iter().any(
         |e| matches!(e, Event::Purged { object: None, purge_group: 17, age } if (2_900 * MILLISECOND..60_000 * MILLISECOND).contains(age)),
     );
-    assert!(told && new.proxy.has_other_process());
+    assert!(purge_received && new.proxy.has_other_process());
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/src/proxy/tests/owed_responses.rs
+++ b/src/proxy/tests/owed_responses.rs
@@ -1,16 +1,16 @@
-//! What a client is owed that breaks the protocol: each request that was taken before has its one final answer, then
-//! comes the error that belongs to no request, then the end.
+//! Protocol errors of clients with open requests: each request accepted before the error gets its one final response,
+//! then the connection gets an error on stream 0, then it ends.
 
 use super::*;
 
-/// Five requests of one client, all of them with the cache.
-fn five_out(harness: &mut Harness) -> (Peer, Vec<Peer>) {
+/// Sends five requests from one client and waits until the cache has received all of them.
+fn send_five_requests(harness: &mut Harness) -> (Peer, Vec<Peer>) {
     let mut client = harness.connect_client();
     client.write(&(1..=5).flat_map(|n| request(n, n, "clip")).collect::<Vec<u8>>());
-    harness.wait_until("all five", |proxy| (proxy.requests.len() == 5).then_some(()));
+    harness.wait_until("all five requests", |proxy| (proxy.requests.len() == 5).then_some(()));
     let mut caches = Vec::new();
-    let mut come = 0;
-    while come < 5 {
+    let mut arrived = 0;
+    while arrived < 5 {
         for _ in 0..3 {
             harness.proxy.timers.set(harness.proxy.now + TURN_INTERVAL, TimerEvent::AcceptRetry);
             harness.proxy.turn().unwrap();
@@ -21,15 +21,15 @@
         for cache in &mut caches {
             cache.read_available();
             while decode_command(&mut cache.received).is_some() {
-                come += 1;
+                arrived += 1;
             }
         }
     }
     (client, caches)
 }
 
-/// What breaks the protocol on a connection that has five requests open.
-fn breaches() -> Vec<(&'static str, Vec<u8>)> {
+/// Returns byte sequences that break the protocol on a connection with five open requests.
+fn protocol_errors() -> Vec<(&'static str, Vec<u8>)> {
     vec![
         ("an unknown type", frame(77, 6, &[])),
         ("a length out of range", 262_145u32.to_be_bytes().to_vec()),
@@ -39,34 +39,34 @@
     ]
 }
 
-/// Seen failing (none of the five was answered) where the error ended the connection at once.
+/// Guards against a protocol error that ends the connection at once and leaves all open requests without a response.
 #[test]
-fn requests_taken_before_a_breach_of_the_protocol_are_answered_before_the_end() {
-    for (what, bytes) in breaches() {
+fn requests_accepted_before_a_protocol_error_are_answered_before_the_connection_ends() {
+    for (what, bytes) in protocol_errors() {
         let mut harness = Harness::new();
-        let (mut client, mut caches) = five_out(&mut harness);
+        let (mut client, mut caches) = send_five_requests(&mut harness);
         client.write(&bytes);
         harness.wait_until(what, |proxy| (proxy.metrics.client_protocol_errors == 1).then_some(()));
-        // What comes after it is not heard.
+        // Input after the protocol error is ignored.
         client.write(&request(40, 40, "clip"));
         harness.proxy.turn().unwrap();
-        assert_eq!(harness.attempts_made(), 5, "{what}: nothing more is sent");
-        let mut left: Vec<u32> = (1..=5).collect();
-        let mut refused = if what.starts_with("a 33rd") { 27 } else { 0 };
+        assert_eq!(harness.attempts_made(), 5, "{what}: no further attempt is made");
+        let mut unanswered: Vec<u32> = (1..=5).collect();
+        let mut rejected = if what.starts_with("a 33rd") { 27 } else { 0 };
         for n in 1..=5 {
             for cache in &mut caches {
                 cache.write(&response(&request_id(n), "ok", "-", "x"));
             }
         }
-        while !left.is_empty() || refused > 0 {
+        while !unanswered.is_empty() || rejected > 0 {
             let (kind, stream, payload) = harness.read_frame(&mut client);
-            assert!(kind == 8 && stream > 0, "{what}: {kind} on {stream} with {left:?} unanswered");
+            assert!(kind == 8 && stream > 0, "{what}: {kind} on {stream} with {unanswered:?} unanswered");
             if stream > 5 {
-                assert_eq!(payload[0], 50, "{what}: taken in the turn of the breach, never sent");
-                refused -= 1;
+                assert_eq!(payload[0], 50, "{what}: received in the turn of the protocol error, never sent");
+                rejected -= 1;
             } else {
                 assert_eq!(payload, b"\x14\x00x", "{what}");
-                left.retain(|&s| s != stream);
+                unanswered.retain(|&s| s != stream);
             }
         }
         let (kind, stream, payload) = harness.read_frame(&mut client);
@@ -76,19 +76,21 @@
     }
 }
 
-/// Whom a client that broke the protocol and then goes has left: nothing further is sent for it.
+/// Guards against retries for a client that broke the protocol and then disconnected.
 #[test]
-fn who_goes_after_a_breach_of_the_protocol_has_no_further_attempt() {
+fn a_client_that_disconnects_after_a_protocol_error_gets_no_further_attempts() {
     for reset in [false, true] {
         let mut harness = Harness::new();
-        let (mut client, mut caches) = five_out(&mut harness);
+        let (mut client, mut caches) = send_five_requests(&mut harness);
         client.write(&frame(77, 6, &[]));
-        harness.wait_until("the breach", |proxy| (proxy.metrics.client_protocol_errors == 1).then_some(()));
+        harness.wait_until("the protocol error", |proxy| {
+            (proxy.metrics.client_protocol_errors == 1).then_some(())
+        });
         if reset {
             rustix::net::sockopt::set_socket_linger(&client.stream, Some(std::time::Duration::ZERO)).unwrap();
         }
         drop(client);
-        harness.wait_until("its end", |proxy| proxy.requests.by_id.is_empty().then_some(()));
+        harness.wait_until("the end of the requests", |proxy| proxy.requests.by_id.is_empty().then_some(()));
         for cache in &mut caches {
             cache.write(&response(&request_id(1), "nothing", "-", ""));
         }
@@ -96,13 +98,15 @@
             harness.proxy.turn().unwrap();
         }
         assert_eq!(harness.attempts_made(), 5, "reset: {reset}");
-        harness.wait_until("no connection", |proxy| proxy.clients.is_empty().then_some(()));
+        harness
+            .wait_until("the end of the client connection", |proxy| proxy.clients.is_empty().then_some(()));
     }
 }
 
-/// A message that stops half-way ends its connection after `MESSAGE_TIMEOUT`; requests that take longer are still answered.
+/// An incomplete message ends its connection after `MESSAGE_TIMEOUT`; open requests that take longer are
+/// still answered.
 #[test]
-fn a_half_message_that_stands_still_ends_no_request() {
+fn a_stalled_message_does_not_end_open_requests() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     let mut bytes = request(1, 1, "clip");
@@ -112,11 +116,12 @@
     let mut cache = harness.accept_cache();
     harness.read_command(&mut cache);
     client.write(&request(2, 2, "clip")[..20]);
-    harness.wait_until("the half", |proxy| {
+    harness.wait_until("the partial message", |proxy| {
         proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
     });
     harness.skip(MESSAGE_TIMEOUT + MESSAGE_TIMEOUT_EXTENSION + SWEEP_INTERVAL);
-    harness.wait_until("the verdict", |proxy| (proxy.metrics.client_protocol_errors == 1).then_some(()));
+    harness
+        .wait_until("the message timeout", |proxy| (proxy.metrics.client_protocol_errors == 1).then_some(()));
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x00x".to_vec()));
     assert_eq!(harness.read_frame(&mut client).1, 0);
