--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -1,14 +1,15 @@
-//! The command channel where two events cross. Each order is forced: a byte is held back until the instance has taken
-//! the one before it, or what the poll would tell is told by hand. Time is skipped.
+//! The command channel when two events race. Each order is forced: a byte is sent only after the instance has
+//! read the previous one, or the test reports the readiness itself in place of the poll. Time is skipped,
+//! never waited for.
 
 use super::*;
 use crate::net::command_channel::Metrics;
 
 const CURSOR: u64 = 41;
-/// Past any pause before a dial, and a look at whether one is due.
-const SOON: Micros = 1_250 * MILLISECOND;
+/// Longer than any backoff before a dial plus the interval at which due dials are checked, in microseconds.
+const PAST_DIAL_BACKOFF: Micros = 1_250 * MILLISECOND;
 
-/// A frame of the command channel.
+/// Encodes a frame of the command channel.
 pub(super) fn event(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut out = (payload.len() as u32 + 9).to_be_bytes().to_vec();
     out.extend(number.to_be_bytes());
@@ -17,7 +18,7 @@
     out
 }
 
-fn nothing(number: u64) -> Vec<u8> {
+fn empty_frame(number: u64) -> Vec<u8> {
     event(number, 0, &[])
 }
 
@@ -25,12 +26,13 @@
     event(number, 4, &[0, 17, 0, 0, 0, 0, 0, 0, 0, 1])
 }
 
-/// States of an endpoint.
+/// Encoded endpoint states.
 const READY: u8 = 0;
-pub(super) const DRAINS: u8 = 1;
-const GONE: u8 = 2;
+pub(super) const DRAINING: u8 = 1;
+const REMOVED: u8 = 2;
 
-/// What the list says of an endpoint: `s-` with this number, a box in the first zone.
+/// Encodes the record of the endpoint `s-` followed by `id`, of kind `box` (the origin, 2, is an `archive`)
+/// in the first zone.
 pub(super) fn record(id: u32, listener: &StdListener, state: u8) -> Vec<u8> {
     let mut out = id.to_be_bytes().to_vec();
     out.extend([127, 0, 0, 1]);
@@ -42,40 +44,40 @@
 }
 
 impl Harness {
-    /// The instance's next connection to the command channel, with the number that it wrote.
-    fn watch(&mut self) -> (Peer, u64) {
+    /// Accepts the instance's next connection to the command channel and reads the cursor that it sends.
+    fn accept_watch(&mut self) -> (Peer, u64) {
         let mut channel = self.accept(|harness| &harness.channel);
         let cursor = self.read_message(&mut channel, |b| Some(b.split_to_checked(8)?.try_into().unwrap()));
         (channel, u64::from_be_bytes(cursor))
     }
 
-    /// One that has brought its first frame.
-    pub(super) fn watched() -> (Harness, Peer) {
+    /// Starts an instance whose command channel has received its first frame.
+    pub(super) fn with_command_channel() -> (Harness, Peer) {
         let mut harness = Harness::new();
-        let (mut channel, cursor) = harness.watch();
+        let (mut channel, cursor) = harness.accept_watch();
         assert_eq!(cursor, CURSOR);
-        channel.write(&nothing(CURSOR));
+        channel.write(&empty_frame(CURSOR));
         harness.wait_until("the first frame", |proxy| {
             proxy.discovery.command_channel.is_current(proxy.now).then_some(())
         });
         (harness, channel)
     }
 
-    /// Turns until the instance is past an event.
-    fn past(&mut self, number: u64) {
+    /// Waits until the instance's cursor has reached `number`.
+    fn wait_for_cursor(&mut self, number: u64) {
         self.wait_until("an event", |proxy| {
             (proxy.discovery.command_channel.cursor() == number).then_some(())
         });
     }
 
-    /// Lets time pass without a turn: what comes next is the next thing that the instance hears of.
-    fn later(&mut self, span: Micros) {
+    /// Skips time without a turn, so that the test decides which event the instance handles next.
+    fn skip_without_turn(&mut self, span: Micros) {
         self.proxy.clock.skip(span);
         self.proxy.now = self.proxy.clock.now();
     }
 
-    /// Has the instance read its watch now, before anything else that the poll has to tell.
-    fn watch_first(&mut self) {
+    /// Makes the instance read its command channel before any other event that the poll would report.
+    fn read_channel_first(&mut self) {
         let token = self.proxy.discovery.command_channel.token().unwrap();
         self.proxy.handle_ready(Ready { token, readable: true, writable: false, ended: false });
     }
@@ -84,17 +86,17 @@
         self.proxy.discovery.command_channel.metrics()
     }
 
-    fn no_dial(&self) {
-        assert!(self.channel.accept().is_err(), "no other connection is made");
+    fn assert_no_dial(&self) {
+        assert!(self.channel.accept().is_err(), "no other connection is opened");
     }
 
-    /// How often the module was told something of the endpoints, beyond the list of the start.
-    fn tidings(&self) -> usize {
+    /// Number of endpoint updates that the router received after the list at the start.
+    fn endpoint_updates(&self) -> usize {
         let is_list = |e: &&Event| matches!(e, Event::Endpoints { .. });
         self.events.all().iter().filter(is_list).count() - 1
     }
 
-    fn takes_work(&self, id: &str) -> bool {
+    fn accepts_requests(&self, id: &str) -> bool {
         self.proxy.discovery.endpoint_list.accepts_requests(id)
     }
 }
@@ -109,38 +111,39 @@
     }
 }
 
-// ---- silence ----
+// ---- timeouts ----
 
 #[test]
-fn a_watch_that_falls_silent_is_dialed_again_with_its_cursor() {
-    let (mut harness, mut channel) = Harness::watched();
+fn a_silent_watch_is_redialed_with_its_cursor() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
     channel.write(&purge(42));
-    harness.past(42);
+    harness.wait_for_cursor(42);
     harness.skip(1_500 * MILLISECOND);
-    harness.no_dial();
+    harness.assert_no_dial();
     harness.skip(1_000 * MILLISECOND + SWEEP_INTERVAL);
     harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    let (mut next, cursor) = harness.watch();
+    let (mut next, cursor) = harness.accept_watch();
     assert_eq!((cursor, harness.metrics().timeouts), (42, 1));
     harness.expect_end(&mut channel);
-    // One that never brings a frame has less time.
+    // A connection that never receives a frame times out sooner.
     harness.skip(1_000 * MILLISECOND);
-    harness.no_dial();
+    harness.assert_no_dial();
     harness.skip(1_200 * MILLISECOND + SWEEP_INTERVAL);
     harness.skip(300 * MILLISECOND + SWEEP_INTERVAL);
-    assert_eq!((harness.watch().1, harness.metrics().timeouts), (42, 2));
+    assert_eq!((harness.accept_watch().1, harness.metrics().timeouts), (42, 2));
     harness.expect_end(&mut next);
 }
 
-/// With a dead watch judged by any byte, as it once was, the trickle held it for good.
+/// Guards against a partial frame that keeps a dead watch open: where any byte counted as progress, a trickle
+/// of single bytes kept the watch open indefinitely.
 #[test]
-fn half_a_frame_is_no_frame_whether_silence_follows_or_a_trickle() {
+fn a_partial_frame_does_not_keep_a_watch_alive_whether_silent_or_trickling() {
     for trickles in [false, true] {
-        for first in [false, true] {
+        for is_first in [false, true] {
             let mut harness = Harness::new();
-            let (mut channel, _) = harness.watch();
-            if !first {
-                channel.write(&nothing(CURSOR));
+            let (mut channel, _) = harness.accept_watch();
+            if !is_first {
+                channel.write(&empty_frame(CURSOR));
                 harness.wait_until("the first frame", |proxy| {
                     proxy.discovery.command_channel.is_current(proxy.now).then_some(())
                 });
@@ -148,7 +151,7 @@
             let bytes = purge(42);
             for taken in 0..10 {
                 channel.write(&bytes[taken..=taken]);
-                // The byte is read before time goes on.
+                // The instance reads the byte before time is skipped.
                 harness.wait_until("a byte", |proxy| {
                     (proxy.discovery.command_channel.buffered_bytes() == taken + 1).then_some(())
                 });
@@ -156,55 +159,55 @@
                     harness.skip(100 * MILLISECOND);
                 }
             }
-            // Where it trickles, the last byte is not so long ago.
+            // With a trickle the last byte is more recent, so less time is skipped.
             harness.skip(if trickles { 1_600 * MILLISECOND } else { 2_500 * MILLISECOND } + SWEEP_INTERVAL);
-            // Seen here: later, real time would end it by any byte.
-            assert_eq!(harness.metrics().timeouts, 1, "{trickles} {first}");
+            // The timeout is checked at once: after more real time, a watch judged by any byte would end as well.
+            assert_eq!(harness.metrics().timeouts, 1, "{trickles} {is_first}");
             harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-            let (mut next, cursor) = harness.watch();
-            assert_eq!((cursor, harness.metrics().timeouts), (CURSOR, 1), "{trickles} {first}");
-            // Nothing of the half is left over: the event comes whole on the next.
+            let (mut next, cursor) = harness.accept_watch();
+            assert_eq!((cursor, harness.metrics().timeouts), (CURSOR, 1), "{trickles} {is_first}");
+            // The partial frame was discarded: the whole event is read from the new connection.
             next.write(&bytes);
-            harness.past(42);
+            harness.wait_for_cursor(42);
             assert_eq!(harness.proxy.purges.iter().count(), 1);
         }
     }
 }
 
-/// Guards a list that takes seconds to come from being asked for again and again; fails where a watch is judged by
-/// whole frames alone.
+/// Guards against requesting a list again and again because its transfer takes seconds: a watch judged by
+/// whole frames alone would time out.
 #[test]
-fn a_long_list_that_goes_on_coming_is_waited_for() {
-    let (mut harness, mut channel) = Harness::watched();
+fn a_long_list_still_being_received_does_not_time_out() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
     let mut list = [record(1, &harness.cache, READY), record(2, &harness.origin, READY)].concat();
     for id in 3..8_000 {
-        list.extend(record(id, &harness.cache, GONE));
+        list.extend(record(id, &harness.cache, REMOVED));
     }
     let list = event(60, 1, &list);
-    let mut put = 0;
+    let mut sent = 0;
     for piece in list.chunks(list.len() / 6 + 1) {
         for bytes in piece.chunks(8 * 1024) {
             channel.write(bytes);
-            put += bytes.len();
-            harness.wait_until("a piece", |proxy| {
-                (proxy.discovery.command_channel.buffered_bytes() == put
+            sent += bytes.len();
+            harness.wait_until("the chunk", |proxy| {
+                (proxy.discovery.command_channel.buffered_bytes() == sent
                     || proxy.discovery.command_channel.cursor() == 60)
                     .then_some(())
             });
         }
-        if put < list.len() {
+        if sent < list.len() {
             harness.skip(640 * MILLISECOND);
         }
     }
-    harness.past(60);
+    harness.wait_for_cursor(60);
     assert_eq!((harness.metrics().opened, harness.metrics().timeouts), (1, 0));
-    assert!(harness.takes_work(CACHE) && harness.takes_work(ORIGIN));
+    assert!(harness.accepts_requests(CACHE) && harness.accepts_requests(ORIGIN));
 }
 
-/// A queue of connections that is full drops what comes to it, as a host does that is cut off. With the bound of a
-/// silent watch on dials, as there once was, the second dial came too late to be there when the test looks.
+/// A full listen backlog drops new connections, as an unreachable host does. With the timeout of a silent
+/// watch applied to dials, the second dial came too late.
 #[test]
-fn a_dial_that_gets_no_answer_is_soon_begun_anew() {
+fn an_unanswered_dial_is_retried_soon() {
     let mut harness = Harness::new();
     rustix::net::listen(&harness.channel, 0).unwrap();
     let filler = StdStream::connect(harness.channel.local_addr().unwrap()).unwrap();
@@ -213,25 +216,26 @@
     assert_eq!(harness.proxy.discovery.command_channel.token(), Some(first));
     harness.skip(600 * MILLISECOND + SWEEP_INTERVAL);
     assert_eq!((harness.metrics().timeouts, harness.metrics().opened), (1, 0));
-    // Discovery is back: one dial more, with the cursor.
+    // Discovery is reachable again: the next dial succeeds and sends the cursor.
     rustix::net::listen(&harness.channel, 16).unwrap();
     let filled = harness.channel.accept().unwrap();
     harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    assert_eq!(harness.watch().1, CURSOR);
+    assert_eq!(harness.accept_watch().1, CURSOR);
     assert_eq!((harness.metrics().timeouts, harness.metrics().opened), (1, 1));
     drop((filler, filled));
 }
 
-// ---- an older watch ----
+// ---- replaced connections ----
 
-/// Which lines rule it out: tokens are never used again (`EventLoop::add`), and `Proxy::ready` asks whose a token is
-/// now. Planted fault: with the old connection kept by `CommandChannel::move_to`, the drain told on it is taken.
+/// Events of a replaced connection are ignored because tokens are never reused (`EventLoop::add`) and
+/// `Proxy::handle_ready` looks up the current owner of a token. Fails if `CommandChannel::change_address`
+/// keeps the old connection: the drain sent on it is then applied.
 #[test]
-fn what_an_older_watch_still_delivers_does_not_count() {
-    let (mut harness, mut old) = Harness::watched();
+fn events_from_a_replaced_watch_are_ignored() {
+    let (mut harness, mut old) = Harness::with_command_channel();
     let token = harness.proxy.discovery.command_channel.token().unwrap();
-    let drain = event(42, 2, &record(1, &harness.cache, DRAINS));
-    // The bytes are there to be read, and the poll has told of them, when SIGHUP moves discovery.
+    let drain = event(42, 2, &record(1, &harness.cache, DRAINING));
+    // The bytes are readable, and the poll has reported them, when a SIGHUP reload moves discovery.
     old.write(&drain);
     let elsewhere = StdListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
@@ -240,24 +244,25 @@
     assert!(harness.reconfigure("older", &config.to_string()));
     harness.proxy.handle_ready(Ready { token, readable: true, writable: true, ended: false });
     harness.channel = elsewhere;
-    let (mut new, cursor) = harness.watch();
+    let (mut new, cursor) = harness.accept_watch();
     assert_eq!((cursor, harness.proxy.discovery.command_channel.cursor()), (CURSOR, CURSOR));
-    assert!(harness.takes_work(CACHE) && harness.tidings() == 0);
+    assert!(harness.accepts_requests(CACHE) && harness.endpoint_updates() == 0);
     harness.expect_end(&mut old);
     new.write(&drain);
-    harness.past(42);
-    assert!(!harness.takes_work(CACHE) && harness.tidings() == 1);
+    harness.wait_for_cursor(42);
+    assert!(!harness.accepts_requests(CACHE) && harness.endpoint_updates() == 1);
 }
 
 #[test]
-fn a_half_that_discovery_sent_before_it_moved_is_not_completed_by_what_comes_after() {
-    let (mut harness, mut old) = Harness::watched();
-    let bytes = [event(42, 2, &record(1, &harness.cache, DRAINS)), purge(43)].concat();
+fn a_partial_frame_from_before_a_move_is_not_completed_by_later_bytes() {
+    let (mut harness, mut old) = Harness::with_command_channel();
+    let bytes = [event(42, 2, &record(1, &harness.cache, DRAINING)), purge(43)].concat();
     let cut = bytes.len() - 8;
     old.write(&bytes[..cut]);
-    harness.past(42);
-    harness
-        .wait_until("the half", |proxy| (proxy.discovery.command_channel.buffered_bytes() > 0).then_some(()));
+    harness.wait_for_cursor(42);
+    harness.wait_until("the partial frame", |proxy| {
+        (proxy.discovery.command_channel.buffered_bytes() > 0).then_some(())
+    });
     let elsewhere = StdListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
     let mut config = harness.config.clone();
@@ -266,94 +271,95 @@
     assert!(harness.reconfigure("half", &config.to_string()));
     assert!(
         harness.proxy.discovery.command_channel.token() != token,
-        "the connection and its half are gone at once"
+        "the connection and its partial frame are dropped at once"
     );
     harness.channel = elsewhere;
-    let (mut new, cursor) = harness.watch();
-    assert_eq!(cursor, 42, "the whole one is not asked for again");
+    let (mut new, cursor) = harness.accept_watch();
+    assert_eq!(cursor, 42, "the complete frame is not requested again");
     assert!((harness.proxy.purges.iter().count() == 0));
-    // The rest alone would be no frame; the whole frame counts once, and so does one that comes twice.
+    // The rest alone would be no valid frame; the whole frame counts once, also if it arrives twice.
     new.write(&[event(42, 2, &record(1, &harness.cache, READY)), purge(43), purge(43)].concat());
-    harness.past(43);
+    harness.wait_for_cursor(43);
     harness.expect_silence(&mut new);
     assert_eq!(
-        (harness.proxy.purges.iter().count(), harness.tidings(), harness.takes_work(CACHE)),
+        (harness.proxy.purges.iter().count(), harness.endpoint_updates(), harness.accepts_requests(CACHE)),
         (1, 1, false)
     );
 }
 
-// ---- numbers ----
+// ---- gaps in the event numbers ----
 
-/// Without a look at the numbers, as it once was, the drain was never heard: the next event was taken for it.
+/// Guards against a missed drain: without a check of the event numbers, the next event was accepted in place of the
+/// missing one.
 #[test]
-fn a_drain_that_was_left_out_is_asked_for_at_once() {
-    let (mut harness, mut channel) = Harness::watched();
-    let drain = event(43, 2, &record(1, &harness.cache, DRAINS));
+fn a_missing_drain_is_requested_again_at_once() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
+    let drain = event(43, 2, &record(1, &harness.cache, DRAINING));
     channel.write(&[purge(42), purge(44), purge(45)].concat());
-    let (mut next, cursor) = harness.watch();
+    let (mut next, cursor) = harness.accept_watch();
     harness.expect_end(&mut channel);
-    assert_eq!((cursor, harness.metrics().gaps), (42, 1), "from where it broke off, with no pause");
-    assert_eq!(harness.proxy.purges.iter().count(), 1, "what is behind the gap comes again");
+    assert_eq!((cursor, harness.metrics().gaps), (42, 1), "resumed at the gap, without backoff");
+    assert_eq!(harness.proxy.purges.iter().count(), 1, "events after the gap are sent again");
     next.write(&[drain, purge(44), purge(45)].concat());
-    harness.past(45);
+    harness.wait_for_cursor(45);
     assert_eq!(
-        (harness.proxy.purges.iter().count(), harness.tidings(), harness.takes_work(CACHE)),
+        (harness.proxy.purges.iter().count(), harness.endpoint_updates(), harness.accepts_requests(CACHE)),
         (3, 1, false)
     );
     assert_eq!(harness.metrics(), Metrics { opened: 2, gaps: 1, ..Metrics::default() });
 }
 
 #[test]
-fn what_is_not_to_be_had_is_asked_for_once_and_then_gone_without() {
-    let (mut harness, mut channel) = Harness::watched();
-    for (number, asks) in [(44, 1), (50, 2)] {
+fn a_gap_that_discovery_cannot_fill_is_requested_once_and_then_accepted() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
+    for (number, gaps) in [(44, 1), (50, 2)] {
         channel.write(&purge(number));
-        let (next, cursor) = harness.watch();
+        let (next, cursor) = harness.accept_watch();
         assert!(cursor < number);
         channel = next;
         channel.write(&purge(number));
-        harness.past(number);
-        assert_eq!((harness.metrics().gaps, harness.metrics().accepted_gaps), (asks, asks));
+        harness.wait_for_cursor(number);
+        assert_eq!((harness.metrics().gaps, harness.metrics().accepted_gaps), (gaps, gaps));
     }
-    // A whole list says all that was told of endpoints before it, and what is late is known.
+    // A complete list covers all earlier endpoint events, and events with older numbers are ignored.
     let list = [record(1, &harness.cache, READY), record(2, &harness.origin, READY)].concat();
-    channel.write(&[event(90, 1, &list), purge(43), nothing(7), purge(91)].concat());
-    harness.past(91);
+    channel.write(&[event(90, 1, &list), purge(43), empty_frame(7), purge(91)].concat());
+    harness.wait_for_cursor(91);
     harness.expect_silence(&mut channel);
-    harness.no_dial();
+    harness.assert_no_dial();
     assert_eq!(harness.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 2, ..Metrics::default() });
     assert_eq!(harness.proxy.purges.iter().count(), 3);
 }
 
-/// An empty frame bears the number of the last event: where that is beyond the cursor, one is missing, though nothing
-/// more may follow for long.
+/// An empty frame carries the number of the last event: a number beyond the cursor means that an event is
+/// missing, even if no further event follows for a long time.
 #[test]
-fn an_empty_frame_shows_that_the_last_event_was_left_out() {
-    let (mut harness, mut channel) = Harness::watched();
-    channel.write(&nothing(42));
-    let (mut next, cursor) = harness.watch();
+fn an_empty_frame_reveals_that_the_last_event_is_missing() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
+    channel.write(&empty_frame(42));
+    let (mut next, cursor) = harness.accept_watch();
     harness.expect_end(&mut channel);
     assert_eq!((cursor, harness.metrics().gaps), (CURSOR, 1));
-    next.write(&[event(42, 2, &record(1, &harness.cache, DRAINS)), nothing(42)].concat());
-    harness.past(42);
-    assert!(!harness.takes_work(CACHE));
-    // One that says so again and has nothing between means something else by it, and is not asked again.
-    next.write(&nothing(44));
-    let (mut last, cursor) = harness.watch();
+    next.write(&[event(42, 2, &record(1, &harness.cache, DRAINING)), empty_frame(42)].concat());
+    harness.wait_for_cursor(42);
+    assert!(!harness.accepts_requests(CACHE));
+    // If the number is repeated without an event in between, the gap is accepted and not requested again.
+    next.write(&empty_frame(44));
+    let (mut last, cursor) = harness.accept_watch();
     assert_eq!((cursor, harness.metrics().gaps), (42, 2));
-    last.write(&[nothing(44), purge(43), nothing(700), purge(44), nothing(701)].concat());
-    harness.past(44);
+    last.write(&[empty_frame(44), purge(43), empty_frame(700), purge(44), empty_frame(701)].concat());
+    harness.wait_for_cursor(44);
     harness.expect_silence(&mut last);
-    harness.no_dial();
+    harness.assert_no_dial();
     assert_eq!(harness.metrics(), Metrics { opened: 3, gaps: 2, accepted_gaps: 1, ..Metrics::default() });
 }
 
 // ---- drains ----
 
-/// A drain that was told while no watch was open comes before any empty frame; nothing goes to the endpoint after it.
+/// A drain sent while no watch was open arrives before any empty frame; no request goes to the endpoint after it.
 #[test]
-fn what_was_told_meanwhile_counts_as_soon_as_the_watch_is_back() {
-    let (mut harness, channel) = Harness::watched();
+fn a_drain_sent_during_a_disconnect_binds_as_soon_as_the_watch_is_back() {
+    let (mut harness, channel) = Harness::with_command_channel();
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
     let mut cache = harness.accept_cache();
@@ -361,165 +367,174 @@
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
     drop(channel);
-    harness.wait_until("the break", |proxy| proxy.discovery.command_channel.token().is_none().then_some(()));
+    harness.wait_until("the disconnect", |proxy| {
+        proxy.discovery.command_channel.token().is_none().then_some(())
+    });
     harness.skip(100 * MILLISECOND + SWEEP_INTERVAL);
-    let (mut channel, cursor) = harness.watch();
+    let (mut channel, cursor) = harness.accept_watch();
     assert_eq!(cursor, CURSOR);
-    // The drain and a request lie there together; the watch is read first.
-    channel.write(&event(42, 2, &record(1, &harness.cache, DRAINS)));
+    // The drain and a request are readable in the same turn; the command channel is read first.
+    channel.write(&event(42, 2, &record(1, &harness.cache, DRAINING)));
     client.write(&request(2, 2, "clip"));
-    harness.later(MILLISECOND);
-    harness.watch_first();
-    assert!(!harness.takes_work(CACHE));
+    harness.skip_without_turn(MILLISECOND);
+    harness.read_channel_first();
+    assert!(!harness.accepts_requests(CACHE));
     let mut origin = harness.accept(|harness| &harness.origin);
     assert_eq!(harness.read_command(&mut origin)[1], request_id(2));
     harness.expect_silence(&mut cache);
 }
 
-/// A request waits for a dial; before the dial is seen to have come through, the list changes: the endpoint drains, or
-/// is replaced at its address, told whole or by the new one's record alone. Nothing is written to who answers there.
-/// Planted fault: with `still_fits` always true the want is written to the process that took the address over.
+/// A request waits for a dial; before the instance sees that the dial succeeded, the endpoint list changes:
+/// the endpoint drains, or another endpoint replaces it at its address, announced with both records or with
+/// the new one alone. The request must not be written to the process that answers there. Fails if
+/// `is_still_valid` is always true.
 #[test]
-fn what_waits_for_a_dial_is_not_written_to_whom_the_list_has_named_gone_meanwhile() {
+fn a_request_waiting_for_a_dial_is_not_written_to_an_endpoint_drained_or_replaced_meanwhile() {
     const NEW: &str = "s-00000007";
-    type Tells = fn(&Harness) -> Vec<u8>;
-    let ways: [(&str, bool, Tells); 3] = [
-        ("it drains", false, |harness| record(1, &harness.cache, DRAINS)),
+    type Records = fn(&Harness) -> Vec<u8>;
+    let cases: [(&str, bool, Records); 3] = [
+        ("it drains", false, |harness| record(1, &harness.cache, DRAINING)),
         ("it is replaced", true, |harness| {
-            [record(1, &harness.cache, GONE), record(7, &harness.cache, READY)].concat()
+            [record(1, &harness.cache, REMOVED), record(7, &harness.cache, READY)].concat()
         }),
         ("another claims its address", true, |harness| record(7, &harness.cache, READY)),
     ];
-    for (what, replaced, tells) in ways {
-        let (mut harness, mut channel) = Harness::watched();
+    for (what, replaced, records) in cases {
+        let (mut harness, mut channel) = Harness::with_command_channel();
         let mut client = harness.connect_client();
         client.write(&request(1, 1, "clip"));
         let dialing = |proxy: &mut Proxy| {
-            let dial =
-                proxy.pool.iter().find(|l| l.1.conn.state() == State::Dialing && &*l.1.endpoint == CACHE);
-            dial.map(|l| l.1.waiting.len())
+            let dial = proxy
+                .pool
+                .iter()
+                .find(|entry| entry.1.conn.state() == State::Dialing && &*entry.1.endpoint == CACHE);
+            dial.map(|entry| entry.1.waiting.len())
         };
         assert_eq!(harness.wait_until("a dial", dialing), 1, "{what}: the request waits for it");
-        channel.write(&event(42, 2, &tells(&harness)));
-        harness.later(MILLISECOND);
-        harness.watch_first();
-        assert!(!harness.takes_work(CACHE) && harness.takes_work(NEW) == replaced, "{what}");
+        channel.write(&event(42, 2, &records(&harness)));
+        harness.skip_without_turn(MILLISECOND);
+        harness.read_channel_first();
+        assert!(!harness.accepts_requests(CACHE) && harness.accepts_requests(NEW) == replaced, "{what}");
         let mut first = harness.accept_cache();
-        // It never ran, and its client hears so. The next goes to whom the list names, on a connection of its own.
+        // The request never ran, and its client is told so. The next request goes to a listed endpoint on a new
+        // connection.
         assert_eq!(harness.read_frame(&mut client).2[0], 50, "{what}");
         harness.expect_silence(&mut first);
         client.write(&request(2, 2, "clip"));
         let listeners = [harness.cache.try_clone().unwrap(), harness.origin.try_clone().unwrap()];
-        let next = harness.wait_until("another", |_| listeners.iter().find_map(|l| l.accept().ok()));
+        let next = harness.wait_until("another connection", |_| {
+            listeners.iter().find_map(|listener| listener.accept().ok())
+        });
         assert_eq!(harness.read_command(&mut Peer::new(next.0))[1], request_id(2), "{what}");
         harness.expect_silence(&mut first);
     }
 }
 
-// ---- bytes that can't be read ----
+// ---- malformed input ----
 
 #[test]
-fn what_cant_be_read_ends_that_connection_alone_and_is_asked_for_ever_more_rarely() {
-    let mut strange = record(1, &StdListener::bind("127.0.0.1:0").unwrap(), DRAINS);
-    strange[10] = 9;
-    let bad: [(&str, Vec<u8>); 5] = [
+fn malformed_input_ends_only_its_connection_and_redials_back_off() {
+    let mut unknown_state = record(1, &StdListener::bind("127.0.0.1:0").unwrap(), DRAINING);
+    unknown_state[10] = 9;
+    let malformed: [(&str, Vec<u8>); 5] = [
         ("too long", u32::MAX.to_be_bytes().to_vec()),
         ("too short", 8u32.to_be_bytes().to_vec()),
         ("unknown kind", event(43, 9, &[0; 16])),
-        ("unknown state", event(43, 2, &strange)),
-        ("half a record", event(43, 1, &strange[..26])),
+        ("unknown state", event(43, 2, &unknown_state)),
+        ("half a record", event(43, 1, &unknown_state[..26])),
     ];
-    for (what, bytes) in bad {
-        let (mut harness, mut channel) = Harness::watched();
+    for (what, bytes) in malformed {
+        let (mut harness, mut channel) = Harness::with_command_channel();
         let (mut client, mut cache, _) = harness.forward_request();
         for (times, pause) in (1..).zip([100, 200, 400, 800, 1_000, 1_000]) {
-            // What came before it counts, also in the same bytes; nothing behind it does.
+            // Events before the malformed frame count, also when they are read together; events after it do not.
             channel.write(&[&purge(42)[..], &bytes, &purge(44)].concat());
-            harness.wait_until("the end", |proxy| {
+            harness.wait_until("the malformed frame", |proxy| {
                 (proxy.discovery.command_channel.metrics().malformed == times).then_some(())
             });
             let due = harness.proxy.now + pause * MILLISECOND;
-            let [before, then] =
+            let [before_due, at_due] =
                 [due - 1, due].map(|t| harness.proxy.discovery.command_channel.wants_dial(t));
-            assert!(!before && then, "{what}: {times}");
+            assert!(!before_due && at_due, "{what}: {times}");
             if times == 1 {
-                // Its own list and its other connections are as they were.
-                assert!(harness.takes_work(CACHE) && harness.tidings() == 0, "{what}");
+                // The endpoint list and all other connections are unchanged.
+                assert!(harness.accepts_requests(CACHE) && harness.endpoint_updates() == 0, "{what}");
                 cache.write(&response(&request_id(1), "ok", "-", "x"));
                 assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x", "{what}");
             }
-            harness.skip(SOON);
-            let (next, cursor) = harness.watch();
+            harness.skip(PAST_DIAL_BACKOFF);
+            let (next, cursor) = harness.accept_watch();
             assert_eq!((cursor, harness.proxy.purges.iter().count()), (42, 1), "{what}");
             channel = next;
         }
-        // The channel is sound again: it goes on from there.
+        // With valid input again, the channel continues from its cursor.
         channel.write(&purge(43));
-        harness.past(43);
+        harness.wait_for_cursor(43);
     }
 }
 
 #[test]
-fn places_beyond_the_settings_lists_are_borne() {
-    let (mut harness, mut channel) = Harness::watched();
+fn zone_kind_and_cell_numbers_beyond_the_settings_lists_are_tolerated() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
     let cache = harness.cache.try_clone().unwrap();
-    let mut far = record(7, &cache, READY);
-    (far[11], far[12], far[13], far[14]) = (255, 255, 255, 255);
-    channel.write(&event(42, 2, &[record(1, &cache, GONE), far].concat()));
-    harness.past(42);
+    let mut out_of_range = record(7, &cache, READY);
+    (out_of_range[11], out_of_range[12], out_of_range[13], out_of_range[14]) = (255, 255, 255, 255);
+    channel.write(&event(42, 2, &[record(1, &cache, REMOVED), out_of_range].concat()));
+    harness.wait_for_cursor(42);
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
     assert!(matches!(harness.read_frame(&mut client).0, 8));
 }
 
-/// Two new configurations while discovery is dialed: what counts is where the last one says it is, and with the number
-/// of the last event; the dials and connections before it are let go.
+/// Two configuration changes while discovery is dialed: the instance connects to the last address with its current
+/// cursor and drops the earlier dials and connections.
 #[test]
-fn two_moves_within_one_dial_lead_to_the_last_address() {
+fn two_address_changes_during_one_dial_lead_to_the_last_address() {
     let mut harness = Harness::new();
-    let places = [StdListener::bind("127.0.0.1:0").unwrap(), StdListener::bind("127.0.0.1:0").unwrap()];
-    for place in &places {
-        harness.proxy.discovery.command_channel.change_address(place.local_addr().unwrap());
+    let addresses = [StdListener::bind("127.0.0.1:0").unwrap(), StdListener::bind("127.0.0.1:0").unwrap()];
+    for listener in &addresses {
+        harness.proxy.discovery.command_channel.change_address(listener.local_addr().unwrap());
         harness.proxy.run_command_channel();
     }
     let old = harness.channel.try_clone().unwrap();
-    harness.channel = places[1].try_clone().unwrap();
+    harness.channel = addresses[1].try_clone().unwrap();
     harness.channel.set_nonblocking(true).unwrap();
-    let (mut channel, cursor) = harness.watch();
+    let (mut channel, cursor) = harness.accept_watch();
     assert_eq!(cursor, CURSOR);
-    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINS)));
-    harness.past(CURSOR + 1);
-    assert!(!harness.takes_work(CACHE));
-    for left in [&old, &places[0]] {
-        left.set_nonblocking(true).unwrap();
-        if let Ok((stream, _)) = left.accept() {
+    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINING)));
+    harness.wait_for_cursor(CURSOR + 1);
+    assert!(!harness.accepts_requests(CACHE));
+    for abandoned in [&old, &addresses[0]] {
+        abandoned.set_nonblocking(true).unwrap();
+        if let Ok((stream, _)) = abandoned.accept() {
             harness.expect_end(&mut Peer::new(stream));
         }
     }
 }
 
-/// The watch falls silent, and the next two connections are taken and say nothing: what is told meanwhile is there
-/// before it counts as told and binds. Each wait is as long as it may be and no sweep helps.
+/// The watch falls silent, and the next two connections are accepted but receive nothing: a drain sent meanwhile must
+/// be applied before it becomes binding. Each wait has its longest permitted length, without a sweep to
+/// shorten it.
 #[test]
-fn a_drain_told_into_silence_is_heard_in_time_though_two_tries_fail() {
-    let (mut harness, _silent) = Harness::watched();
+fn a_drain_sent_to_a_silent_watch_is_applied_in_time_though_two_redials_fail() {
+    let (mut harness, _silent) = Harness::with_command_channel();
     let began = harness.proxy.now;
-    let mut held = Vec::new();
-    for (silence, pause) in [(2_500, 100), (2_000, 200), (2_200, 400)] {
+    let mut channels = Vec::new();
+    for (silence, backoff) in [(2_500, 100), (2_000, 200), (2_200, 400)] {
         harness.skip(silence * MILLISECOND);
-        assert!(harness.proxy.discovery.command_channel.token().is_none(), "let go after {silence} ms");
-        harness.skip(pause * MILLISECOND);
-        held.push(harness.watch().0);
+        assert!(harness.proxy.discovery.command_channel.token().is_none(), "closed after {silence} ms");
+        harness.skip(backoff * MILLISECOND);
+        channels.push(harness.accept_watch().0);
     }
-    let mut channel = held.pop().unwrap();
-    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINS)));
-    harness.past(CURSOR + 1);
-    let after = harness.proxy.now - began;
-    assert!(after < 7_500 * MILLISECOND && !harness.takes_work(CACHE), "{after}");
+    let mut channel = channels.pop().unwrap();
+    channel.write(&event(CURSOR + 1, 2, &record(1, &harness.cache, DRAINING)));
+    harness.wait_for_cursor(CURSOR + 1);
+    let elapsed = harness.proxy.now - began;
+    assert!(elapsed < 7_500 * MILLISECOND && !harness.accepts_requests(CACHE), "{elapsed}");
 }
 
 #[test]
-fn the_command_channel_resumes_where_it_broke_off() {
+fn the_command_channel_resumes_at_its_cursor_after_a_disconnect_or_silence() {
     let mut harness = Harness::new();
     let mut channel = harness.accept(|harness| &harness.channel);
     let cursor = |b: &mut BytesMut| (b.len() >= 8).then(|| b.split_to(8).to_vec());
@@ -538,7 +553,7 @@
     drop(channel);
     let mut channel = harness.accept(|harness| &harness.channel);
     assert_eq!(harness.read_message(&mut channel, cursor), 42u64.to_be_bytes());
-    // Silence is as good as a break.
+    // Silence has the same effect as a disconnect.
     harness.skip(3_000 * MILLISECOND);
     let mut channel = harness.accept(|harness| &harness.channel);
     assert_eq!(harness.read_message(&mut channel, cursor), 42u64.to_be_bytes());
--- a/src/proxy/tests/pauses.rs
+++ b/src/proxy/tests/pauses.rs
@@ -1,76 +1,77 @@
-//! A process that was stopped and goes on: what came meanwhile is read before anybody is judged for his silence.
+//! A process that was suspended and resumes: input that arrived meanwhile is read before any timeout is judged.
 
-use super::command_channel::{event, record, DRAINS};
-use super::purge_log::vouching;
+use super::command_channel::{event, record, DRAINING};
+use super::purge_log::with_current_purge_log;
 use super::*;
 
-/// Short ones, one longer than a message may take, and longer ones than a connection may be idle.
+/// A short pause, one longer than the message timeout, and two longer than a connection may be idle, in microseconds.
 const PAUSES: [Micros; 4] =
     [500 * MILLISECOND, 3_000 * MILLISECOND, 5_000 * MILLISECOND, 30_000 * MILLISECOND];
 
 impl Harness {
-    /// Waits until the machine has brought what its one upstream wrote last, without a turn of the instance's.
-    fn upstream_brought(&mut self) {
+    /// Waits, without a turn of the event loop, until input from the only upstream connection is readable.
+    fn await_upstream_input(&mut self) {
         let token = *self.proxy.pool.iter().next().unwrap().0;
         let upstream = self.proxy.pool.get_mut(token).unwrap();
-        assert!((0..1_000_000).any(|_| upstream.conn.has_pending_input()), "never brought");
+        assert!((0..1_000_000).any(|_| upstream.conn.has_pending_input()), "no input arrived");
     }
 
-    /// Waits until the machine has brought what the command channel told last, without a turn of the instance's.
-    fn discovery_brought(&mut self) {
-        let told = &mut self.proxy.discovery.command_channel;
-        assert!((0..1_000_000).any(|_| told.has_pending_input()), "never brought");
+    /// Waits, without a turn of the event loop, until input on the command channel is readable.
+    fn await_channel_input(&mut self) {
+        let channel = &mut self.proxy.discovery.command_channel;
+        assert!((0..1_000_000).any(|_| channel.has_pending_input()), "no input arrived");
     }
 }
 
-/// Guards against a request that is decided by what the purge log vouched for before a pause.
+/// Guards against routing a request by a purge log state that was confirmed before the pause.
 #[test]
-fn after_a_pause_a_request_is_bound_by_the_purge_log_before_it_is_decided() {
-    let (mut harness, _registry) = vouching();
-    let (mut client, mut cache, want) = harness.forward_request();
-    assert!(!has_field(&want, "fresh=1000"), "{want:?}");
+fn after_a_pause_the_purge_log_is_rechecked_before_a_request_is_routed() {
+    let (mut harness, _registry) = with_current_purge_log();
+    let (mut client, mut cache, command) = harness.forward_request();
+    assert!(!has_field(&command, "fresh=1000"), "{command:?}");
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
     client.write(&request(2, 2, "clip"));
-    harness.brought();
+    harness.await_client_input();
     harness.skip(5_000 * MILLISECOND);
-    let want = harness.read_command(&mut cache);
-    assert!(has_field(&want, "fresh=1000"), "{want:?}");
+    let command = harness.read_command(&mut cache);
+    assert!(has_field(&command, "fresh=1000"), "{command:?}");
 }
 
-/// Guards against an attempt that begins long after its client has cancelled: the dial that it waited for and the
-/// cancellation came while nobody read.
+/// Guards against an attempt that begins long after its client cancelled: the dial completed and the
+/// cancellation arrived while the process was suspended.
 #[test]
-fn a_request_cancelled_while_the_process_was_stopped_is_not_written_when_its_dial_is_up() {
+fn a_request_cancelled_during_a_pause_is_not_written_when_its_dial_completes() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
     harness.wait_until("the dial", |proxy| (proxy.pool.len() == 1).then_some(()));
     client.write(&frame(9, 1, &[]));
-    harness.brought();
+    harness.await_client_input();
     let mut cache = harness.accept_cache();
     harness.expect_silence(&mut cache);
     assert_eq!(harness.outcomes(), [(AttemptStatus::Cancelled, true)]);
 }
 
-/// Guards against an attempt to an endpoint whose drain was told long ago, while nobody read.
+/// Guards against an attempt to an endpoint whose drain was announced while the process was suspended.
 #[test]
-fn a_drain_told_while_the_process_was_stopped_binds_before_a_dial_that_is_up() {
-    let (mut harness, mut channel) = Harness::watched();
+fn a_drain_announced_during_a_pause_is_applied_before_a_completed_dial_is_used() {
+    let (mut harness, mut channel) = Harness::with_command_channel();
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
     harness.wait_until("the dial", |proxy| (proxy.pool.len() == 1).then_some(()));
     let mut cache = harness.accept_cache();
     let cursor = harness.proxy.discovery.command_channel.cursor();
-    channel.write(&event(cursor + 1, 2, &record(1, &harness.cache, DRAINS)));
-    harness.discovery_brought();
+    channel.write(&event(cursor + 1, 2, &record(1, &harness.cache, DRAINING)));
+    harness.await_channel_input();
     harness.expect_silence(&mut cache);
-    assert!(!harness.proxy.discovery.endpoint_list.accepts_requests(CACHE), "its drain was heard");
+    assert!(!harness.proxy.discovery.endpoint_list.accepts_requests(CACHE), "the drain was applied");
 }
 
-/// Guards a client whose requests timed out while nobody read them: it took back each, as the protocol asks.
+/// Guards against a protocol error for a client whose requests timed out during a pause: the client cancelled each of
+/// them, as the protocol requires.
 #[test]
-fn requests_cancelled_while_the_process_was_stopped_are_no_breach() {
+fn requests_cancelled_during_a_pause_are_no_protocol_error() {
     let mut harness = Harness::new();
     let last = 3 * MAX_UNANSWERED_CANCELS;
     let cancelled = |stream| [request(stream, stream, "clip"), frame(9, stream, &[])].concat();
@@ -84,36 +85,38 @@
     assert_eq!(harness.proxy.metrics.client_protocol_errors, 0);
 }
 
-/// Guards against timers that are judged by a poll from before they were due.
+/// Guards against handling a timer after a poll that began before the timer was due: input of that time is
+/// still unread.
 #[test]
-fn a_timer_that_comes_due_during_the_wait_is_left_to_the_next_turn() {
+fn a_timer_that_becomes_due_during_a_poll_is_handled_in_the_next_turn() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&frame(1, 0, &fields(&[])));
     assert_eq!(harness.read_frame(&mut client).0, 2);
-    // Nothing else happens before the timer, so the wait ends with it.
+    // No other event occurs before the timer is due, so the poll ends when it is.
     let due_at = harness.proxy.clock.now() + 20 * MILLISECOND;
     harness.proxy.timers.set(due_at, TimerEvent::DrainDeadline);
     let is_set = |harness: &Harness| {
         harness.proxy.timers.iter().any(|timer| matches!(timer, TimerEvent::DrainDeadline))
     };
     while harness.proxy.now < due_at {
-        assert!(is_set(&harness), "judged before the input of its time was read");
+        assert!(is_set(&harness), "handled before the input up to its due time was read");
         harness.proxy.turn().unwrap();
     }
-    assert!(is_set(&harness), "judged by a poll that began before it was due");
+    assert!(is_set(&harness), "handled after a poll that began before it was due");
     harness.proxy.turn().unwrap();
     assert!(!is_set(&harness));
 }
 
-/// Guards an endpoint that answered in time, and its connection, against a process that did not read the answer in time.
+/// Guards against a timeout of an endpoint that responded in time, and the loss of its connection, because
+/// the process read the response late.
 #[test]
-fn an_answer_that_came_during_a_pause_is_the_answer() {
+fn a_response_that_arrived_during_a_pause_is_used() {
     for pause in PAUSES {
         let mut harness = Harness::new();
         let (mut client, mut cache, _) = harness.forward_request();
         cache.write(&response(&request_id(1), "ok", "-", "x"));
-        harness.upstream_brought();
+        harness.await_upstream_input();
         harness.skip(pause);
         assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x00x".to_vec()));
         assert_eq!(harness.outcomes(), [(AttemptStatus::Served, true)]);
@@ -121,14 +124,14 @@
     }
 }
 
-/// Guards the command channel against being dialed anew after each pause.
+/// Guards against redialing the command channel after every pause.
 #[test]
-fn a_command_channel_that_went_on_during_a_pause_is_not_silent() {
+fn a_command_channel_that_received_frames_during_a_pause_is_not_silent() {
     for pause in PAUSES {
-        let (mut harness, mut channel) = Harness::watched();
+        let (mut harness, mut channel) = Harness::with_command_channel();
         let cursor = harness.proxy.discovery.command_channel.cursor();
         channel.write(&event(cursor, 0, &[]));
-        harness.discovery_brought();
+        harness.await_channel_input();
         harness.skip(pause);
         harness.expect_silence(&mut channel);
         let metrics = harness.proxy.discovery.command_channel.metrics();
@@ -136,19 +139,19 @@
     }
 }
 
-/// Guards a client that was in the middle of a message when the process was stopped.
+/// Guards against a message timeout of a client that completed its message during a pause.
 #[test]
-fn a_message_that_was_ended_during_a_pause_is_not_overdue() {
+fn a_message_completed_during_a_pause_does_not_time_out() {
     for pause in PAUSES {
         let mut harness = Harness::new();
         let mut client = harness.connect_client();
         let bytes = request(1, 1, "clip");
         client.write(&bytes[..20]);
-        harness.wait_until("the half", |proxy| {
+        harness.wait_until("the partial message", |proxy| {
             proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
         });
         client.write(&bytes[20..]);
-        harness.brought();
+        harness.await_client_input();
         harness.skip(pause);
         let mut cache = harness.accept_cache();
         assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "after {pause}");
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -1,4 +1,4 @@
-//! Two events that cross: each test makes the bad order happen, on real connections, every time.
+//! Races between two events: each test forces the problematic order on real connections every time.
 
 use super::*;
 use rustix::net::sockopt;
@@ -8,39 +8,41 @@
         *self.proxy.clients.tokens().first().unwrap()
     }
 
-    /// Waits until the machine has brought what its one client did last, without a turn of the instance's.
-    pub(super) fn brought(&mut self) {
+    /// Waits, without a turn of the event loop, until the last action of the only client is visible on its
+    /// connection.
+    pub(super) fn await_client_input(&mut self) {
         let token = self.only_client();
         let client = self.proxy.clients.get_mut(&token).unwrap();
-        let come = (0..1_000_000).any(|_| client.conn.transport().peek(&mut [0]).is_ok());
-        assert!(come, "never brought");
+        let arrived = (0..1_000_000).any(|_| client.conn.transport().peek(&mut [0]).is_ok());
+        assert!(arrived, "no input arrived");
     }
 
-    /// Its one client may send more than one turn reads without a turn of the instance's.
-    fn takes_much(&mut self) {
+    /// Enlarges the receive buffer of the only client connection, so that the client can send more than one
+    /// turn reads without a turn of the event loop.
+    fn enlarge_client_buffer(&mut self) {
         self.wait_until("the client", |proxy| (proxy.clients.len() == 1).then_some(()));
         let token = self.only_client();
         let stream = self.proxy.clients.get_mut(&token).unwrap().conn.transport();
         sockopt::set_socket_recv_buffer_size(&*stream, 200_000).unwrap();
     }
 
-    /// Takes what its one client did before all else that the poll may tell of.
-    fn hear_client(&mut self) {
-        self.brought();
+    /// Handles the last action of the only client before any other event that the poll may report.
+    fn handle_client_first(&mut self) {
+        self.await_client_input();
         let (token, readable, writable, ended) = (self.only_client(), true, false, false);
         self.proxy.handle_ready(Ready { token, readable, writable, ended });
     }
 
-    /// Time passes before the next turn.
-    fn late(&mut self, span: Micros) {
+    /// Skips time without a turn of the event loop.
+    fn skip_before_turn(&mut self, span: Micros) {
         self.proxy.clock.skip(span);
         self.proxy.now = self.proxy.clock.now();
     }
 
-    /// The connection ends, and not by a reset.
-    fn ends_well(&mut self, peer: &mut Peer) {
+    /// Waits for the end of the connection and asserts that it was not a reset.
+    fn expect_clean_end(&mut self, peer: &mut Peer) {
         self.expect_end(peer);
-        assert!(!peer.reset, "reset");
+        assert!(!peer.reset, "the connection was reset");
     }
 
     fn attempts(&self) -> u64 {
@@ -52,42 +54,42 @@
     request_with(stream, number, "edit", &[("nonce", "5c0f6e1a2b3d4c59")])
 }
 
-/// An edit of the most bytes that one may have.
+/// Encodes an edit with a body of at least 47,000 bytes.
 fn large_edit(stream: u32, number: u32) -> Vec<u8> {
     let short = edit(stream, number);
     let body = [&short[9..], &vec![b'x'; 47_000][..]].concat();
     frame(7, stream, &body)
 }
 
-// ---- the client goes ----
+// ---- the client disconnects or cancels ----
 
-/// Seen failing where `abandon_request` calls nothing off and `write_attempt` does not look at the end of the request: an
-/// edit, and where nothing may be cancelled any request, was written once the dial came up.
+/// Fails if `abandon_request` does not cancel the attempt and `write_attempt` does not check whether the request has
+/// ended: edits, and any request if `may-cancel` is false, were written once the dial completed.
 #[test]
-fn who_goes_while_its_request_waits_for_a_dial_has_no_attempt() {
-    let leaves = |_: &mut Peer| true;
+fn a_request_abandoned_while_waiting_for_a_dial_is_not_written() {
+    let disconnects = |_: &mut Peer| true;
     let cancels = |client: &mut Peer| {
         client.write(&frame(9, 1, &[]));
         false
     };
     for (route, may_cancel) in [("edit", true), ("edit", false), ("clip", false)] {
-        for goes in [leaves as fn(&mut Peer) -> bool, cancels] {
+        for abandons in [disconnects as fn(&mut Peer) -> bool, cancels] {
             let mut harness = Harness::with(|c| c["settings"]["limits"]["may-cancel"] = may_cancel.into());
             let mut client = harness.connect_client();
             client.write(&if route == "edit" { edit(1, 1) } else { request(1, 1, route) });
             harness.wait_until("the dial", |proxy| (proxy.pool.len() == 1).then_some(()));
-            if goes(&mut client) {
+            if abandons(&mut client) {
                 drop(client);
             }
-            harness.hear_client();
-            assert!(harness.proxy.requests.by_id.is_empty(), "what nobody waits for holds nothing");
+            harness.handle_client_first();
+            assert!(harness.proxy.requests.by_id.is_empty(), "an abandoned request is removed");
             let mut endpoint = if route == "edit" {
                 harness.accept(|harness| &harness.origin)
             } else {
                 harness.accept_cache()
             };
-            harness.wait_until("the dial's end", |proxy| {
-                proxy.pool.iter().all(|l| l.1.conn.is_open()).then_some(())
+            harness.wait_until("the completed dial", |proxy| {
+                proxy.pool.iter().all(|entry| entry.1.conn.is_open()).then_some(())
             });
             harness.expect_silence(&mut endpoint);
             assert_eq!(harness.outcomes(), [(AttemptStatus::Cancelled, true)]);
@@ -95,11 +97,12 @@
     }
 }
 
-/// Seen failing where `cancel_unwritten_attempt` leaves what is half written: the rest came to the origin after its client had left.
+/// Fails if `cancel_unwritten_attempt` ignores partially written requests: the rest was written to the origin
+/// after the client had disconnected.
 #[test]
-fn who_leaves_while_its_request_is_half_written_has_it_broken_off() {
+fn a_partially_written_request_is_cut_off_when_its_client_disconnects() {
     let mut harness = Harness::new();
-    // A first edit brings the connection up; then neither end has room for a large one.
+    // A first edit opens the connection; then the buffers of both ends are made too small for a large one.
     let mut client = harness.connect_client();
     client.write(&edit(1, 1));
     let mut origin = harness.accept(|harness| &harness.origin);
@@ -108,12 +111,13 @@
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
     sockopt::set_socket_recv_buffer_size(&origin.stream, 1).unwrap();
     let token = *harness.proxy.pool.iter().next().unwrap().0;
-    let link = harness.proxy.pool.get_mut(token).unwrap();
-    sockopt::set_socket_send_buffer_size(&*link.conn.transport(), 1).unwrap();
+    let upstream = harness.proxy.pool.get_mut(token).unwrap();
+    sockopt::set_socket_send_buffer_size(&*upstream.conn.transport(), 1).unwrap();
     client.write(&large_edit(2, 2));
-    harness.wait_until("a part", |proxy| (proxy.pool.get_mut(token)?.conn.backlog() > 0).then_some(()));
+    harness
+        .wait_until("a partial write", |proxy| (proxy.pool.get_mut(token)?.conn.backlog() > 0).then_some(()));
     drop(client);
-    harness.hear_client();
+    harness.handle_client_first();
     assert!(harness.proxy.requests.by_id.is_empty());
     harness.expect_end(&mut origin);
     let text = String::from_utf8_lossy(&origin.received);
@@ -124,29 +128,31 @@
     );
 }
 
-/// Whether there is the beginning of a command and not all of it.
+/// Whether `bytes` hold the beginning of a command but not all of it.
 fn command_begun(bytes: &[u8]) -> bool {
     !bytes.is_empty() && bytes.len() < 47_000
 }
 
-/// Seen failing where `client_ready` acts on what came before it looks whether the client is still there.
+/// Fails if `client_ready` handles input before it checks whether the client is still connected.
 #[test]
-fn what_comes_with_the_end_of_its_connection_goes_to_no_endpoint() {
-    // The second is more than one turn reads.
+fn requests_read_together_with_the_end_of_their_connection_are_not_forwarded() {
+    // The second input is more than one turn reads.
     for bytes in [request(1, 1, "clip"), (1..=3).flat_map(|n| large_edit(n, n)).collect()] {
         let mut harness = Harness::new();
         let mut client = harness.connect_client();
-        harness.takes_much();
+        harness.enlarge_client_buffer();
         client.write(&bytes);
         drop(client);
-        harness.wait_until("its end", |proxy| proxy.clients.is_empty().then_some(()));
+        harness
+            .wait_until("the end of the client connection", |proxy| proxy.clients.is_empty().then_some(()));
         assert_eq!((harness.attempts(), harness.proxy.pool.len()), (0, 0));
     }
 }
 
-/// Seen failing without the look at the end of the request in `write_attempt` and `cancel_unwritten_attempt` in `fail_open_requests`.
+/// Fails without the check for ended requests in `write_attempt` and `cancel_unwritten_attempt` in
+/// `fail_open_requests`.
 #[test]
-fn what_a_drain_has_answered_is_not_written_when_its_dial_comes_up() {
+fn a_request_failed_by_a_drain_is_not_written_when_its_dial_completes() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&edit(1, 1));
@@ -163,30 +169,30 @@
 
 // ---- a connection ends ----
 
-/// Seen failing where `Connection::flush` closes once all is written: over what was not read that is a reset.
+/// Fails if `Connection::flush` closes the socket once all is written: a close with unread input is a reset.
 #[test]
-fn who_goes_on_sending_after_what_can_not_be_read_still_gets_its_answer() {
+fn a_client_that_keeps_sending_after_a_protocol_error_still_gets_the_error() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
-    // More than one turn reads, all of it there before the answer.
-    harness.takes_much();
+    // The input is more than one turn reads and arrives completely before the error is sent.
+    harness.enlarge_client_buffer();
     client.write(&[frame(77, 1, &[]), vec![0; 190_000]].concat());
     assert_eq!((harness.read_frame(&mut client).1, harness.proxy.metrics.client_protocol_errors), (0, 1));
-    harness.ends_well(&mut client);
+    harness.expect_clean_end(&mut client);
     drop(client);
-    harness.wait_until("its end", |proxy| proxy.clients.is_empty().then_some(()));
+    harness.wait_until("the end of the client connection", |proxy| proxy.clients.is_empty().then_some(()));
 }
 
-/// Seen failing where `sweep_clients` closes what is idle without a look at what came since.
+/// Fails if `sweep_clients` closes idle connections without checking for unread input.
 #[test]
-fn a_request_that_comes_before_its_idle_connection_is_closed_is_served() {
+fn a_request_that_arrives_before_its_idle_connection_is_closed_is_served() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
-    harness.late(IDLE_TIMEOUT + MILLISECOND);
+    harness.skip_before_turn(IDLE_TIMEOUT + MILLISECOND);
     client.write(&request(2, 2, "clip"));
-    harness.brought();
+    harness.await_client_input();
     harness.proxy.sweep();
     harness.proxy.process_events();
     assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
@@ -194,57 +200,57 @@
     assert_eq!(harness.read_frame(&mut client), (8, 2, b"\x14\x00y".to_vec()));
 }
 
-/// Guards against closing a connection that its client uses: what came was answered at once, so nothing is open on it,
-/// but the next request is on its way.
+/// Guards against closing a connection in use: the message was answered at once, so no request is open, but
+/// the client's next request may already be on its way.
 #[test]
-fn an_idle_connection_that_brings_a_message_answered_at_once_stays_open() {
+fn an_idle_connection_with_an_unread_message_answered_at_once_stays_open() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
-    harness.late(IDLE_TIMEOUT + MILLISECOND);
+    harness.skip_before_turn(IDLE_TIMEOUT + MILLISECOND);
     client.write(&frame(1, 0, &fields(&[])));
-    harness.brought();
+    harness.await_client_input();
     harness.proxy.sweep();
     assert_eq!(harness.read_frame(&mut client), (2, 0, vec![20, 0]));
-    assert_eq!(harness.open_clients(), 1, "it is in use");
+    assert_eq!(harness.open_clients(), 1, "the connection is in use");
     client.write(&request(2, 2, "clip"));
     assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
     cache.write(&response(&request_id(2), "ok", "-", "y"));
     assert_eq!(harness.read_frame(&mut client), (8, 2, b"\x14\x00y".to_vec()));
-    // One that brings nothing more is idle again.
-    harness.late(IDLE_TIMEOUT + MILLISECOND);
+    // Without further messages the connection is idle again.
+    harness.skip_before_turn(IDLE_TIMEOUT + MILLISECOND);
     harness.proxy.sweep();
-    harness.ends_well(&mut client);
+    harness.expect_clean_end(&mut client);
 }
 
-/// Guards against the same where a connection is to make room: another that brings nothing goes in its place.
+/// Guards against evicting a connection in use to make room: a connection without unread input is evicted instead.
 #[test]
-fn a_connection_that_brings_a_message_answered_at_once_does_not_make_room() {
+fn a_connection_with_an_unread_message_answered_at_once_is_not_evicted() {
     let mut harness = Harness::new();
-    let ready = frame(1, 0, &fields(&[]));
+    let readiness_check = frame(1, 0, &fields(&[]));
     let mut used = harness.connect_client();
-    used.write(&ready);
+    used.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut used).0, 2);
     let used_token = harness.only_client();
-    harness.late(MILLISECOND);
+    harness.skip_before_turn(MILLISECOND);
     let mut idle = harness.connect_client();
-    idle.write(&ready);
+    idle.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut idle).0, 2);
-    harness.late(MILLISECOND);
-    used.write(&ready);
+    harness.skip_before_turn(MILLISECOND);
+    used.write(&readiness_check);
     let conn = &mut harness.proxy.clients.get_mut(&used_token).unwrap().conn;
-    assert!((0..1_000_000).any(|_| conn.transport().peek(&mut [0]).is_ok()), "never brought");
+    assert!((0..1_000_000).any(|_| conn.transport().peek(&mut [0]).is_ok()), "no input arrived");
     harness.proxy.bounds.clients = 2;
     harness.proxy.make_room();
-    harness.ends_well(&mut idle);
+    harness.expect_clean_end(&mut idle);
     assert_eq!(harness.read_frame(&mut used).0, 2);
     assert!(harness.proxy.clients.get(&used_token).is_some_and(|client| client.conn.is_open()));
 }
 
-/// Guards against a reset, and a request without its answer, where a standby ends what is not whole.
+/// Guards against a reset, and a request without a response, when standby closes a connection with a partial message.
 #[test]
-fn a_request_that_has_come_is_answered_before_a_standby_ends_its_connection() {
+fn a_request_that_has_arrived_is_answered_before_standby_closes_its_connection() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&frame(1, 0, &fields(&[])));
@@ -253,44 +259,44 @@
     assert_eq!(harness.read_frame(&mut client).0, 3);
     let bytes = request(1, 1, "clip");
     client.write(&bytes[..20]);
-    harness.wait_until("the half", |proxy| {
+    harness.wait_until("the partial message", |proxy| {
         proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
     });
-    harness.late(3_600 * MILLISECOND);
+    harness.skip_before_turn(3_600 * MILLISECOND);
     client.write(&bytes[20..]);
-    harness.brought();
+    harness.await_client_input();
     harness.proxy.sweep();
-    assert_eq!(harness.read_frame(&mut client).2[0], 50, "refused, not lost");
-    harness.ends_well(&mut client);
+    assert_eq!(harness.read_frame(&mut client).2[0], 50, "rejected, not lost");
+    harness.expect_clean_end(&mut client);
 }
 
-/// A request that crosses the close finds an end, no reset, and is not sent on. Seen failing with `close` in place of
-/// `finish` in `finish_client`.
+/// A request that crosses the close of its connection gets an orderly end, not a reset, and is not forwarded.
+/// Fails with `close` in place of `finish` in `finish_client`.
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_is_not_sent_on() {
+fn a_request_that_crosses_the_close_of_its_connection_is_not_forwarded() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     cache.write(&response(&request_id(1), "ok", "-", &"x".repeat(200_000)));
-    harness.wait_until("the answer", |proxy| proxy.requests.by_id.is_empty().then_some(()));
+    harness.wait_until("the response", |proxy| proxy.requests.by_id.is_empty().then_some(()));
     let token = harness.only_client();
-    harness.wait_until("all of it", |proxy| {
+    harness.wait_until("the complete write", |proxy| {
         (proxy.clients.get(&token).unwrap().conn.backlog() == 0).then_some(())
     });
     harness.proxy.finish_client(token);
     client.write(&request(2, 2, "clip"));
-    harness.brought();
+    harness.await_client_input();
     harness.expect_silence(&mut cache);
-    assert_eq!(harness.read_frame(&mut client).2.len(), 200_002, "the last answer is whole");
-    harness.ends_well(&mut client);
+    assert_eq!(harness.read_frame(&mut client).2.len(), 200_002, "the last response is complete");
+    harness.expect_clean_end(&mut client);
     assert_eq!(harness.attempts(), 1);
     drop(client);
-    harness.wait_until("its end", |proxy| proxy.clients.is_empty().then_some(()));
+    harness.wait_until("the end of the client connection", |proxy| proxy.clients.is_empty().then_some(()));
 }
 
-/// Clients that rest after they were told of the end, hundreds of them, take no place of others.
-/// Seen failing without `CLOSE_TIMEOUT` in `sweep_clients`, and without the bound on them in `make_room`.
+/// Hundreds of clients that keep their end open after the proxy closed the connection must not block others. Fails
+/// without `CLOSE_TIMEOUT` in `sweep_clients`, and without the bound on closing connections in `make_room`.
 #[test]
-fn connections_on_their_way_out_have_a_bound_and_an_end() {
+fn closing_connections_are_bounded_and_time_out() {
     let mut harness = Harness::with(|c| c["limits"]["sockets"] = 64.into());
     let bounds = harness.proxy.bounds;
     let most = bounds.clients + bounds.closing;
@@ -304,60 +310,61 @@
     }
     let ending = |proxy: &Proxy| proxy.clients.values().filter(|c| c.conn.is_ending()).count();
     assert!(ending(&harness.proxy) > 0);
-    harness.late(CLOSE_TIMEOUT + MILLISECOND);
+    harness.skip_before_turn(CLOSE_TIMEOUT + MILLISECOND);
     harness.proxy.sweep();
     assert_eq!(ending(&harness.proxy), 0);
-    // The first was idle for longest; the last is there.
-    harness.ends_well(&mut resting[0]);
+    // The first connection, idle for longest, was closed; the last is still open.
+    harness.expect_clean_end(&mut resting[0]);
     let last = resting.last_mut().unwrap();
     last.write(&frame(1, 0, &fields(&[])));
     assert_eq!(harness.read_frame(last).0, 2);
 }
 
-/// Clients that have asked once and then begin a message take all places; the next is still taken. Seen failing (it
-/// looked for ever) where `make_room` goes on with those that are idle but for half a message.
+/// Clients with one complete and one partial message hold all connections; a new client is still accepted.
+/// Fails, in an endless loop, if `make_room` keeps trying connections that are idle except for a partial
+/// message.
 #[test]
-fn half_messages_on_all_connections_do_not_keep_the_next_client_out() {
+fn partial_messages_on_all_connections_do_not_block_a_new_client() {
     let mut harness = Harness::new();
     harness.proxy.bounds.clients = 3;
-    let ready = frame(1, 0, &fields(&[]));
-    let mut halves: Vec<Peer> = (0..3).map(|_| harness.connect_client()).collect();
-    for half in &mut halves {
-        half.write(&ready);
-        assert_eq!(harness.read_frame(half).0, 2);
-        half.write(&ready[..3]);
+    let readiness_check = frame(1, 0, &fields(&[]));
+    let mut partial_clients: Vec<Peer> = (0..3).map(|_| harness.connect_client()).collect();
+    for client in &mut partial_clients {
+        client.write(&readiness_check);
+        assert_eq!(harness.read_frame(client).0, 2);
+        client.write(&readiness_check[..3]);
     }
-    let partial =
+    let all_partial =
         |proxy: &mut Proxy| proxy.clients.values().filter(|c| c.conn.has_partial_message()).count() == 3;
-    harness.wait_until("the halves", |proxy| partial(proxy).then_some(()));
+    harness.wait_until("the partial messages", |proxy| all_partial(proxy).then_some(()));
     let mut next = harness.connect_client();
-    next.write(&ready);
+    next.write(&readiness_check);
     assert_eq!(harness.read_frame(&mut next).0, 2);
-    harness.ends_well(&mut halves[0]);
+    harness.expect_clean_end(&mut partial_clients[0]);
     assert_eq!(harness.open_clients(), 3);
 }
 
-// ---- the process ends ----
+// ---- shutdown ----
 
-/// Seen failing where `run` ends at once: what came since the last turn was lost with a reset.
+/// Fails if `run_to_completion` returns at once: input since the last turn was lost with a reset.
 #[test]
-fn what_comes_in_the_last_moment_of_a_process_is_answered_and_all_see_an_end() {
+fn requests_that_arrive_just_before_exit_are_answered_and_all_connections_end_cleanly() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
     let mut resting = harness.connect_client();
-    harness.wait_until("the other", |proxy| (proxy.clients.len() == 2).then_some(()));
+    harness.wait_until("the second client", |proxy| (proxy.clients.len() == 2).then_some(()));
     harness.proxy.shut_down();
-    harness.late(1_000 * MILLISECOND);
-    assert!(harness.proxy.is_drained(), "nothing is known that is still owed");
+    harness.skip_before_turn(1_000 * MILLISECOND);
+    assert!(harness.proxy.is_drained(), "no response is pending");
     client.write(&request(2, 2, "clip"));
     let endpoint = std::thread::spawn(move || {
         cache.stream.set_nonblocking(false).unwrap();
         let mut chunk = [0; 4096];
         while decode_command(&mut cache.received).is_none() {
             let n = cache.stream.read(&mut chunk).unwrap();
-            assert!(n > 0, "the request came to no depot");
+            assert!(n > 0, "the request was not forwarded to the cache");
             cache.received.put_slice(&chunk[..n]);
         }
         cache.write(&response(&request_id(2), "ok", "-", "y"));
@@ -366,16 +373,17 @@
     harness.proxy.run_to_completion().unwrap();
     for peer in [&mut client, &mut resting] {
         peer.read_available();
-        assert!(peer.ended && !peer.reset, "the end is there before the process is gone");
+        assert!(peer.ended && !peer.reset, "the connection ended cleanly before the process exits");
     }
     drop(harness);
     drop(endpoint.join().unwrap());
     assert_eq!(client.received, [frame(3, 0, &[]), frame(8, 2, b"\x14\x00y")].concat());
 }
 
-/// Seen failing without the look at `last_answers` in `Lifecycle::begins`: nobody awaits how such a one ends.
+/// Fails without the check of `last_answer_at` in `Lifecycle::begins_requests`: nothing would wait for the
+/// end of such a request.
 #[test]
-fn a_request_that_comes_after_the_last_answers_of_a_drain_is_refused_at_once() {
+fn a_request_after_the_last_response_time_of_a_drain_is_rejected_at_once() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     harness.proxy.shut_down();
@@ -390,12 +398,12 @@
     assert!(harness.proxy.is_drained());
 }
 
-// ---- answers and attempts ----
+// ---- responses and attempts ----
 
-/// The second answer to the first attempt comes where the next one has the same name. Seen failing where a
-/// connection that brought an answer may carry the next attempt: it ended that one, which was still out.
+/// A second response to the first attempt carries the same request ID as the next attempt. Fails if the connection of
+/// the first response may carry the next attempt: the duplicate ended that attempt while it was in flight.
 #[test]
-fn a_second_answer_does_not_end_the_next_attempt() {
+fn a_duplicate_response_does_not_end_the_next_attempt() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     cache.write(
@@ -405,32 +413,39 @@
     let mut next = harness.accept_cache();
     assert_eq!(harness.read_command(&mut next)[1], request_id(1));
     harness.expect_silence(&mut cache);
-    assert_eq!((harness.attempts(), harness.outcomes().len()), (2, 1), "one has ended, one is out");
+    assert_eq!(
+        (harness.attempts(), harness.outcomes().len()),
+        (2, 1),
+        "one attempt has ended, one is in flight"
+    );
     next.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x00x".to_vec()));
     assert_eq!(harness.proxy.metrics.late_responses, 1);
 }
 
-/// The answer after which another endpoint would be tried, and the end of the client, in one turn; the answer came first.
-/// Seen failing where events are taken in the order of the poll: a second attempt began.
+/// A response that would lead to another attempt and the client's disconnect arrive in one turn, the response first.
+/// Fails if events are handled in the order of the poll: a second attempt began.
 #[test]
-fn who_goes_in_the_turn_of_an_answer_has_no_further_attempt() {
+fn a_client_that_disconnects_in_the_turn_of_a_response_gets_no_further_attempt() {
     let mut harness = Harness::new();
     let (client, mut cache, _) = harness.forward_request();
     cache.write(&response(&request_id(1), "nothing", "-", ""));
     let token = *harness.proxy.pool.iter().next().unwrap().0;
-    let link = harness.proxy.pool.get_mut(token).unwrap();
-    assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "the answer is there");
+    let upstream = harness.proxy.pool.get_mut(token).unwrap();
+    assert!(
+        (0..1_000_000).any(|_| upstream.conn.transport().peek(&mut [0]).is_ok()),
+        "the response is readable"
+    );
     drop(client);
-    harness.brought();
-    harness.wait_until("the end", |proxy| proxy.requests.by_id.is_empty().then_some(()));
+    harness.await_client_input();
+    harness.wait_until("the end of the request", |proxy| proxy.requests.by_id.is_empty().then_some(()));
     assert_eq!(harness.attempts(), 1);
 }
 
-/// An edit that may have run is not sent again where the class must not: on a connection that had ended before it was
-/// written, each such would be lost for nothing. Seen failing where events are taken in the order of the poll.
+/// An at-most-once edit that may have run is not sent again, so writing it to a connection that has already
+/// ended would lose it needlessly. Fails if events are handled in the order of the poll.
 #[test]
-fn a_request_is_not_written_on_a_connection_whose_end_came_in_the_same_turn() {
+fn a_request_is_not_written_to_a_connection_whose_end_arrived_in_the_same_turn() {
     let mut harness = Harness::with(|c| c["settings"]["classes"][2]["semantics"] = "at_most_once".into());
     let mut client = harness.connect_client();
     client.write(&edit(1, 1));
@@ -439,20 +454,24 @@
     first.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2[0], 20);
     client.write(&edit(2, 2));
-    harness.brought();
+    harness.await_client_input();
     drop(first);
     let token = *harness.proxy.pool.iter().next().unwrap().0;
-    let link = harness.proxy.pool.get_mut(token).unwrap();
-    assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "the end is there");
+    let upstream = harness.proxy.pool.get_mut(token).unwrap();
+    assert!(
+        (0..1_000_000).any(|_| upstream.conn.transport().peek(&mut [0]).is_ok()),
+        "the end of the connection is visible"
+    );
     let mut second = harness.accept(|harness| &harness.origin);
     assert_eq!(harness.read_command(&mut second)[1], request_id(2));
     second.write(&response(&request_id(2), "ok", "-", "y"));
     assert_eq!(harness.read_frame(&mut client), (8, 2, b"\x14\x00y".to_vec()));
 }
 
-/// Seen failing without `repeat_by` in `still_fits`: the dial outlasted the window, and the edit was written again.
+/// Fails without `repeat_by` in `is_still_valid`: the dial outlasted the deduplication window, and the edit
+/// was written again.
 #[test]
-fn an_edit_that_may_have_run_is_not_written_again_once_its_window_is_over() {
+fn an_edit_that_may_have_run_is_not_written_again_after_its_deduplication_window() {
     let mut harness = Harness::with(|c| c["settings"]["classes"][2]["window-us"] = 100_000.into());
     let mut client = harness.connect_client();
     client.write(&edit(1, 1));
@@ -465,56 +484,57 @@
     assert_eq!(
         harness.read_frame(&mut client),
         (8, 1, vec![51, 0]),
-        "it may have run: no word that a repeat does no harm"
+        "the edit may have run: the response must not say that a repeat is safe"
     );
     harness.expect_silence(&mut again);
     assert_eq!(harness.proxy.metrics.dropped_attempts, 1);
 }
 
-// ---- room is made ----
+// ---- eviction ----
 
-/// Whole requests that are there unread when their connection is to make room are taken: each of the three ways.
-/// Seen failing where `make_room` and `free_descriptor` end a connection without a look at what has come.
+/// A complete request that is unread when its connection is chosen for eviction is accepted, for each of the
+/// three kinds of eviction. Fails if `make_room` and `free_descriptor` close a connection without checking
+/// for unread input.
 #[test]
-fn a_request_that_has_come_is_taken_before_its_connection_makes_room() {
-    type MakesRoom = fn(&mut Harness);
-    let mute = |harness: &mut Harness| {
+fn a_request_that_has_arrived_is_accepted_before_its_connection_is_evicted() {
+    type Evict = fn(&mut Harness);
+    let evict_silent = |harness: &mut Harness| {
         harness.proxy.bounds.silent_clients = 1;
         harness.proxy.make_room();
     };
-    let least_used = |harness: &mut Harness| {
+    let evict_least_used = |harness: &mut Harness| {
         harness.proxy.bounds.clients = 1;
         harness.proxy.make_room();
     };
-    let descriptor = |harness: &mut Harness| {
+    let free_descriptor = |harness: &mut Harness| {
         harness.proxy.free_descriptor();
     };
-    let ways: [(&str, MakesRoom, bool, bool); 5] = [
-        ("never asked", mute, false, false),
-        ("least used", least_used, true, false),
-        ("least used, half a message", least_used, true, true),
-        ("a descriptor", descriptor, true, false),
-        ("a descriptor, half a message", descriptor, true, true),
+    let cases: [(&str, Evict, bool, bool); 5] = [
+        ("never sent a message", evict_silent, false, false),
+        ("least used", evict_least_used, true, false),
+        ("least used, partial message", evict_least_used, true, true),
+        ("a descriptor", free_descriptor, true, false),
+        ("a descriptor, partial message", free_descriptor, true, true),
     ];
-    for (what, makes_room, asked, half) in ways {
+    for (what, evict, has_sent, partial) in cases {
         let mut harness = Harness::new();
         let mut client = harness.connect_client();
         harness.wait_until("the client", |proxy| (proxy.clients.len() == 1).then_some(()));
-        if asked {
+        if has_sent {
             client.write(&frame(1, 0, &fields(&[])));
             assert_eq!(harness.read_frame(&mut client).0, 2);
         }
         let bytes = request(1, 1, "clip");
-        let begun = if half { 20 } else { 0 };
-        client.write(&bytes[..begun]);
-        if half {
-            harness.wait_until("the half", |proxy| {
+        let sent = if partial { 20 } else { 0 };
+        client.write(&bytes[..sent]);
+        if partial {
+            harness.wait_until("the partial message", |proxy| {
                 proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
             });
         }
-        client.write(&bytes[begun..]);
-        harness.brought();
-        makes_room(&mut harness);
+        client.write(&bytes[sent..]);
+        harness.await_client_input();
+        evict(&mut harness);
         harness.proxy.process_events();
         let mut cache = harness.accept_cache();
         assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "{what}");
@@ -523,10 +543,10 @@
     }
 }
 
-/// A cancel that lies behind the answers that its client does not read is heeded: no further attempt is sent.
-/// Seen failing: the further attempt was sent.
+/// Guards against a further attempt for a request whose cancellation is unread because the client does not read its
+/// responses and so its connection is not read either.
 #[test]
-fn a_cancel_on_a_connection_that_is_not_read_has_no_further_attempt() {
+fn a_cancellation_on_a_connection_that_is_not_read_prevents_further_attempts() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     let token = harness.only_client();
@@ -537,11 +557,11 @@
     assert!(conn.backlog() > BACKLOG_HIGH_WATER);
     harness.proxy.after_client_write(token);
     client.write(&[request(2, 2, "clip"), frame(9, 1, &[])].concat());
-    harness.brought();
+    harness.await_client_input();
     cache.write(&response(&request_id(1), "nothing", "-", ""));
     let events = harness.events.clone();
     harness.wait_until("the end of the attempt", |_| (events.outcome_count() >= 1).then_some(()));
-    assert_eq!(harness.attempts(), 1, "sent for nobody");
+    assert_eq!(harness.attempts(), 1, "no attempt is sent for a cancelled request");
     assert!(harness.proxy.requests.by_id.is_empty());
 }
 
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The machine's wall clock is wrong, or is stepped: no age, window or ramp moves with it.
+//! A wrong or stepped wall clock does not affect ages, windows or ramps.
 
 use super::*;
 
@@ -8,16 +8,16 @@
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-/// An instance on a machine whose wall clock is off by so much, with a cache that started just now.
-fn off_by(error_ms: i64, change: impl FnOnce(&mut serde_json::Value)) -> Harness {
+/// Starts an instance whose wall clock is off by `error_ms`, with a cache that started just now.
+fn with_clock_error(error_ms: i64, change: impl FnOnce(&mut serde_json::Value)) -> Harness {
     Harness::with_clock(Clock::start_off_by(error_ms), |config| {
         config["known"]["cmds"][0]["nodes"]["instances"][0]["startedAtMs"] = unix_ms().into();
         change(config);
     })
 }
 
-/// The start of the cache as the module has been told last.
-fn told_start(harness: &Harness) -> Micros {
+/// Returns the start time of the cache that the router received last.
+fn reported_start(harness: &Harness) -> Micros {
     let of_cache = |e: &Event| match e {
         Event::Endpoints { endpoints: members, .. } => {
             members.iter().find(|m| &*m.id == CACHE).map(|m| m.started_at)
@@ -27,24 +27,24 @@
     harness.events.all().iter().rev().find_map(of_cache).expect("the cache was listed")
 }
 
-/// Slow start binds from a start on, whatever the wall clock says. Seen failing with an hour ahead (an endpoint of long
-/// ago, and warm) and with an hour behind (cold for an hour).
+/// Slow start begins at the start of an endpoint whatever the wall clock says. Without this, an endpoint
+/// counted as warm with the clock an hour ahead, and as cold for an hour with the clock an hour behind.
 #[test]
-fn a_cold_endpoint_is_cold_for_its_ramp_whatever_the_wall_clock_says() {
+fn a_new_endpoint_counts_as_cold_whatever_the_wall_clock_says() {
     for error_ms in [-HOUR_MS, -5_000, 0, 5_000, HOUR_MS] {
-        let harness = off_by(error_ms, |_| {});
-        let age = harness.proxy.now as i64 - told_start(&harness) as i64;
+        let harness = with_clock_error(error_ms, |_| {});
+        let age = harness.proxy.now as i64 - reported_start(&harness) as i64;
         assert!((0..1_000_000).contains(&age), "off by {error_ms} ms: {age} us old");
     }
 }
 
-/// A start keeps its moment when its record is told again, also where discovery's clock was stepped in between; and
-/// one that goes back is a start of now.
+/// A start time is kept when its record is repeated, also if discovery's clock was stepped in between; a
+/// start time that goes backwards counts as a start at the present time.
 #[test]
-fn a_start_told_again_keeps_its_moment_and_one_that_goes_back_is_new() {
-    let mut harness = off_by(0, |_| {});
-    let first = told_start(&harness);
-    let again = |harness: &mut Harness, started_ms: u64| {
+fn a_repeated_start_time_is_kept_and_an_earlier_one_counts_as_a_new_start() {
+    let mut harness = with_clock_error(0, |_| {});
+    let first = reported_start(&harness);
+    let repeat_record = |harness: &mut Harness, started_ms: u64| {
         let record = Record {
             id: CACHE.to_owned(),
             address: harness.cache.local_addr().unwrap(),
@@ -58,46 +58,47 @@
         harness.proxy.apply_endpoints(false, vec![record]);
         harness.proxy.process_events();
     };
-    let told_ms = unix_ms() + 3_000;
+    let recorded_ms = unix_ms() + 3_000;
     harness.skip(3_000 * MILLISECOND);
-    again(&mut harness, told_ms);
-    let second = told_start(&harness);
+    repeat_record(&mut harness, recorded_ms);
+    let second = reported_start(&harness);
     assert!(second >= first + 2_900 * MILLISECOND, "a new start");
     harness.skip(3_000 * MILLISECOND);
-    again(&mut harness, told_ms);
-    assert_eq!(told_start(&harness), second);
+    repeat_record(&mut harness, recorded_ms);
+    assert_eq!(reported_start(&harness), second);
     harness.skip(60_000 * MILLISECOND);
-    again(&mut harness, told_ms - 3_540_000);
-    assert_eq!(told_start(&harness), harness.proxy.now, "their clock was stepped back by an hour");
+    repeat_record(&mut harness, recorded_ms - 3_540_000);
+    assert_eq!(reported_start(&harness), harness.proxy.now, "discovery's clock was stepped back by an hour");
 }
 
-/// A purge is never taken for older than it is: an attempt after it accepts no copy from before it. Seen failing with
-/// an hour ahead: copies of up to an hour were accepted.
+/// The age of a purge is never overestimated: an attempt after the purge accepts no copy from before it. With
+/// the clock an hour ahead, copies of up to an hour were accepted.
 #[test]
-fn a_purge_is_never_taken_for_older_than_it_is() {
+fn the_age_of_a_purge_is_never_overestimated() {
     for error_ms in [-HOUR_MS, 0, HOUR_MS] {
-        let mut harness = off_by(error_ms, |_| {});
+        let mut harness = with_clock_error(error_ms, |_| {});
         harness.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
         harness.proxy.process_events();
         harness.skip(600 * MILLISECOND);
         let mut client = harness.connect_client();
         client.write(&request(1, 1, "page"));
         let mut cache = harness.accept_cache();
-        let want = harness.read_command(&mut cache);
-        let fresh = want[2].split(',').find_map(|f| f.strip_prefix("fresh=")).unwrap();
-        assert!(fresh.parse::<u64>().unwrap() < 2_000, "off by {error_ms} ms: {}", want[2]);
+        let command = harness.read_command(&mut cache);
+        let fresh = command[2].split(',').find_map(|f| f.strip_prefix("fresh=")).unwrap();
+        assert!(fresh.parse::<u64>().unwrap() < 2_000, "off by {error_ms} ms: {}", command[2]);
     }
 }
 
-/// No copy of the instance's own is served that is too old, though the wall clock was behind at the start.
+/// A local copy beyond its maximum age is not served, although the wall clock was behind at the start.
 #[test]
-fn with_the_wall_clock_behind_no_copy_of_its_own_is_served_too_old() {
-    let (mut harness, mut channel) = local_cache::with_copies_by(Clock::start_off_by(-HOUR_MS));
+fn with_the_wall_clock_behind_no_local_copy_beyond_its_maximum_age_is_served() {
+    let (mut harness, mut channel) = local_cache::with_local_cache_and_clock(Clock::start_off_by(-HOUR_MS));
     let (mut client, mut cache) = (harness.connect_client(), None);
     let minted = unix_ms() - 30_000;
-    local_cache::tells(&mut harness, &mut channel, None);
+    local_cache::send_channel_frame(&mut harness, &mut channel, None);
     for number in 1..=4 {
-        let asked = local_cache::asks_for(&mut harness, &mut client, &mut cache, number, minted, "page");
-        assert!(asked, "{number}: a copy of 30 s where 22 s may be");
+        let asked =
+            local_cache::request_object_as(&mut harness, &mut client, &mut cache, number, minted, "page");
+        assert!(asked, "{number}: the copy is 30 s old, the maximum is 22 s");
     }
 }
