--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -1,23 +1,23 @@
-//! Two processes of one instance, and new settings, each met by something else in the same turn.
+//! Two processes of one instance, and new settings, each combined with another event in the same turn.
 
 use super::*;
 use crate::takeover::{encode_line, hello, FromSuccessor};
 use std::os::unix::net::UnixStream as StdUnix;
 
-/// An instance that next processes find, and the folder where they do.
-struct Found {
+/// An instance whose successors can find it, and the folder with its takeover files.
+struct Predecessor {
     harness: Harness,
     folder: PathBuf,
     identity: Identity,
 }
 
-impl Drop for Found {
+impl Drop for Predecessor {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Found {
+impl Predecessor {
     fn new(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Self {
         let folder = std::env::temp_dir().join(format!("larchdale-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -26,14 +26,14 @@
         let files = TakeoverFiles::new(folder.clone(), identity.clone());
         harness.proxy.takeover = Some(Takeover::new(files, None, false, &mut harness.proxy.event_loop));
         harness.proxy.begin_serving();
-        Found { harness, folder, identity }
+        Predecessor { harness, folder, identity }
     }
 
     fn files(&self) -> TakeoverFiles {
         TakeoverFiles::new(self.folder.clone(), self.identity.clone())
     }
 
-    fn knock(&self) -> StdUnix {
+    fn connect_socket(&self) -> StdUnix {
         let stream = StdUnix::connect(self.files().socket()).unwrap();
         stream.set_nonblocking(true).unwrap();
         stream
@@ -43,21 +43,21 @@
         encode_line(&hello(self.identity.clone()))
     }
 
-    /// One to whom the listener was offered.
-    fn successor(&mut self) -> StdUnix {
-        let mut next = self.knock();
+    /// Connects a successor and completes the exchange up to the offer of the listener.
+    fn connect_successor(&mut self) -> StdUnix {
+        let mut next = self.connect_socket();
         next.write_all(&self.hello()).unwrap();
-        self.offered(&mut next);
+        self.expect_offer(&mut next);
         next
     }
 
-    fn offered(&mut self, next: &mut StdUnix) {
-        let mut said = [0; 64];
-        let count = self.harness.wait_until("an offer", |_| match next.read(&mut said) {
+    fn expect_offer(&mut self, next: &mut StdUnix) {
+        let mut received = [0; 64];
+        let count = self.harness.wait_until("an offer", |_| match next.read(&mut received) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
-            other => Some(other.expect("not turned away")),
+            other => Some(other.expect("the connection is not refused")),
         });
-        assert_eq!(&said[..count], b"\"offer\"\n");
+        assert_eq!(&received[..count], b"\"offer\"\n");
     }
 }
 
@@ -65,198 +65,216 @@
     encode_line(&FromSuccessor::Serving { shared_listener: shared })
 }
 
-// ---- one process after another ----
+// ---- successive processes ----
 
-/// The successor dies, and the next one knocks before this process has seen it: it was closed unheard with the old
-/// socket, and started as if nobody were there.
+/// A successor exits, and the next one connects before this process has seen the exit. The new connection used to be
+/// closed unread with the old socket, so that the next process started as if there were no predecessor.
 #[test]
-fn who_knocks_in_the_turn_in_which_a_successor_ends_is_heard() {
+fn a_successor_that_connects_in_the_turn_in_which_another_ends_gets_an_offer() {
     for served in [false, true] {
-        let mut f = Found::new("knocks", |_| {});
-        let mut successor = f.successor();
+        let mut predecessor = Predecessor::new("successive", |_| {});
+        let mut successor = predecessor.connect_successor();
         if served {
             successor.write_all(&serving(true)).unwrap();
         }
-        // In this order: its end is what the next turn sees first.
+        // The order matters: the next turn sees the successor's end first.
         drop(successor);
-        let mut next = f.knock();
-        next.write_all(&f.hello()).unwrap();
-        f.offered(&mut next);
-        assert!(f.harness.proxy.has_other_process() && f.harness.proxy.lifecycle.takes_clients());
-        // By the new name the one after it hears that it is one too many.
-        let mut third = f.knock();
-        third.write_all(&f.hello()).unwrap();
-        let mut said = [0; 64];
-        let count = f.harness.wait_until("a refusal", |_| third.read(&mut said).ok());
-        assert_eq!(&said[..count], b"\"busy\"\n");
+        let mut next = predecessor.connect_socket();
+        next.write_all(&predecessor.hello()).unwrap();
+        predecessor.expect_offer(&mut next);
+        assert!(
+            predecessor.harness.proxy.has_other_process()
+                && predecessor.harness.proxy.lifecycle.takes_clients()
+        );
+        // A third process that connects to the new socket is refused.
+        let mut third = predecessor.connect_socket();
+        third.write_all(&predecessor.hello()).unwrap();
+        let mut received = [0; 64];
+        let count = predecessor.harness.wait_until("a refusal", |_| third.read(&mut received).ok());
+        assert_eq!(&received[..count], b"\"busy\"\n");
     }
 }
 
 #[test]
-fn a_hello_in_two_pieces_and_a_successor_that_ends_as_it_begins_to_serve_change_nothing() {
-    let mut f = Found::new("pieces", |_| {});
-    let mut next = f.knock();
-    let hello = f.hello();
+fn a_split_hello_is_accepted_and_a_successor_that_ends_once_serving_returns_the_clients() {
+    let mut predecessor = Predecessor::new("pieces", |_| {});
+    let mut next = predecessor.connect_socket();
+    let hello = predecessor.hello();
     next.write_all(&hello[..9]).unwrap();
     for _ in 0..3 {
-        f.harness.proxy.timers.set(f.harness.proxy.now, TimerEvent::AcceptRetry);
-        f.harness.proxy.turn().unwrap();
+        predecessor.harness.proxy.timers.set(predecessor.harness.proxy.now, TimerEvent::AcceptRetry);
+        predecessor.harness.proxy.turn().unwrap();
     }
-    assert!(!f.harness.proxy.has_other_process());
+    assert!(!predecessor.harness.proxy.has_other_process());
     next.write_all(&hello[9..]).unwrap();
-    f.offered(&mut next);
-    let half = f.harness.proxy.bounds;
+    predecessor.expect_offer(&mut next);
+    let halved = predecessor.harness.proxy.bounds;
     next.write_all(&serving(true)).unwrap();
     drop(next);
-    f.harness.wait_until("its end", |proxy| (!proxy.has_other_process()).then_some(()));
+    predecessor
+        .harness
+        .wait_until("the end of the successor", |proxy| (!proxy.has_other_process()).then_some(()));
     assert!(
-        f.harness.proxy.lifecycle.takes_clients()
-            && f.harness.proxy.lifecycle.accepts_connections()
-            && f.harness.proxy.bounds != half
+        predecessor.harness.proxy.lifecycle.takes_clients()
+            && predecessor.harness.proxy.lifecycle.accepts_connections()
+            && predecessor.harness.proxy.bounds != halved
     );
-    let mut client = f.harness.connect_client();
+    let mut client = predecessor.harness.connect_client();
     client.write(&frame(1, 5, &[0]));
-    assert_eq!(f.harness.read_frame(&mut client), (2, 5, vec![20, 0]));
+    assert_eq!(predecessor.harness.read_frame(&mut client), (2, 5, vec![20, 0]));
 }
 
-/// SIGTERM and word of the successor in one turn, in either order; then the successor's end and a second SIGTERM.
+/// SIGTERM and the successor's message that it serves arrive in one turn, in either order; then the successor
+/// exits and another SIGTERM arrives.
 #[test]
-fn told_to_end_as_it_is_replaced_it_ends_with_its_connections_and_goes_on_if_the_successor_dies() {
-    for first in [false, true] {
-        let mut f = Found::new("ends", |_| {});
-        let (mut client, mut cache, _) = f.harness.forward_request();
-        let mut next = f.successor();
-        if first {
-            f.harness.proxy.shut_down();
+fn sigterm_during_a_takeover_drains_the_process_and_it_accepts_again_if_the_successor_dies() {
+    for sigterm_first in [false, true] {
+        let mut predecessor = Predecessor::new("ends", |_| {});
+        let (mut client, mut cache, _) = predecessor.harness.forward_request();
+        let mut next = predecessor.connect_successor();
+        if sigterm_first {
+            predecessor.harness.proxy.shut_down();
         }
         next.write_all(&serving(true)).unwrap();
-        f.harness.wait_until("word of it", |proxy| (!proxy.lifecycle.accepts_connections()).then_some(()));
-        f.harness.proxy.shut_down();
-        f.harness.proxy.shut_down();
+        predecessor.harness.wait_until("the end of accepting connections", |proxy| {
+            (!proxy.lifecycle.accepts_connections()).then_some(())
+        });
+        predecessor.harness.proxy.shut_down();
+        predecessor.harness.proxy.shut_down();
         assert!(
-            f.harness.proxy.has_other_process() && !f.harness.proxy.is_drained(),
-            "a request is owed its answer"
+            predecessor.harness.proxy.has_other_process() && !predecessor.harness.proxy.is_drained(),
+            "a request is without its response"
         );
-        // What it does not take waits for the successor. That one dies: nobody else would take it.
-        let mut waiting = f.harness.connect_client();
+        // New connections wait for the successor. When it exits, no other process would accept them.
+        let mut waiting = predecessor.harness.connect_client();
         waiting.write(&request(1, 2, "clip"));
-        f.harness.expect_silence(&mut waiting);
+        predecessor.harness.expect_silence(&mut waiting);
         drop(next);
-        f.harness.proxy.shut_down();
-        assert_eq!(f.harness.read_command(&mut cache)[1], request_id(2));
+        predecessor.harness.proxy.shut_down();
+        assert_eq!(predecessor.harness.read_command(&mut cache)[1], request_id(2));
         for number in [1, 2] {
             cache.write(&response(&request_id(number), "ok", "-", "x"));
         }
-        assert_eq!((f.harness.read_frame(&mut client).0, f.harness.read_frame(&mut client).0), (3, 8));
-        assert_eq!((f.harness.read_frame(&mut waiting).0, f.harness.read_frame(&mut waiting).0), (3, 8));
-        f.harness.skip(1_000 * MILLISECOND);
-        assert!(f.harness.proxy.is_drained());
+        assert_eq!(
+            (predecessor.harness.read_frame(&mut client).0, predecessor.harness.read_frame(&mut client).0),
+            (3, 8)
+        );
+        assert_eq!(
+            (predecessor.harness.read_frame(&mut waiting).0, predecessor.harness.read_frame(&mut waiting).0),
+            (3, 8)
+        );
+        predecessor.harness.skip(1_000 * MILLISECOND);
+        assert!(predecessor.harness.proxy.is_drained());
     }
 }
 
-/// The bounds halve as a next process comes: what is idle above them goes, and half a request is not idle.
+/// The bounds halve when a successor connects: idle connections beyond them are closed, and a partial request
+/// does not count as idle.
 #[test]
-fn a_request_half_read_is_kept_when_two_processes_share_the_bounds() {
-    let mut f = Found::new("half", |c| c["limits"]["sockets"] = 128.into());
+fn a_partially_read_request_is_kept_when_two_processes_share_the_bounds() {
+    let mut predecessor = Predecessor::new("half", |c| c["limits"]["sockets"] = 128.into());
     let bytes = request(1, 1, "clip");
-    let mut slow = f.harness.connect_client();
+    let mut slow = predecessor.harness.connect_client();
     slow.write(&bytes[..20]);
-    f.harness.wait_until("half a request", |proxy| {
+    predecessor.harness.wait_until("the partial request", |proxy| {
         proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
     });
-    let half = Bounds::of(&f.harness.proxy.configuration.limits, true, true).clients;
-    let mut others: Vec<Peer> = (0..half).map(|_| f.harness.connect_client()).collect();
+    let halved = Bounds::of(&predecessor.harness.proxy.configuration.limits, true, true).clients;
+    let mut others: Vec<Peer> = (0..halved).map(|_| predecessor.harness.connect_client()).collect();
     for other in &mut others {
         other.write(&frame(1, 5, &[0]));
-        assert_eq!(f.harness.read_frame(other).0, 2);
+        assert_eq!(predecessor.harness.read_frame(other).0, 2);
     }
-    assert_eq!(f.harness.proxy.clients.len(), half + 1, "one too many for half of the bounds");
-    let _next = f.successor();
-    assert_eq!(f.harness.open_clients(), half);
+    assert_eq!(predecessor.harness.proxy.clients.len(), halved + 1, "one more than the halved bound");
+    let _next = predecessor.connect_successor();
+    assert_eq!(predecessor.harness.open_clients(), halved);
     slow.write(&bytes[20..]);
-    let mut cache = f.harness.accept_cache();
-    assert_eq!(f.harness.read_command(&mut cache)[1], request_id(1));
+    let mut cache = predecessor.harness.accept_cache();
+    assert_eq!(predecessor.harness.read_command(&mut cache)[1], request_id(1));
 }
 
-/// The process before hangs, with as many at its socket as may wait there: connecting waited without end.
+/// Guards against a start that blocks forever while connecting to a predecessor that hangs with a full listen
+/// backlog.
 #[test]
-fn a_start_does_not_wait_for_a_process_whose_queue_is_full() {
-    let f = Found::new("hangs", |_| {});
-    let name = f.files().socket();
-    std::fs::remove_file(&name).unwrap();
-    let hanging = std::os::unix::net::UnixListener::bind(&name).unwrap();
+fn a_start_does_not_wait_for_a_predecessor_whose_backlog_is_full() {
+    let predecessor = Predecessor::new("hangs", |_| {});
+    let socket_path = predecessor.files().socket();
+    std::fs::remove_file(&socket_path).unwrap();
+    let hanging = std::os::unix::net::UnixListener::bind(&socket_path).unwrap();
     rustix::net::listen(&hanging, 0).unwrap();
-    let waiting: Vec<_> = (0..10).map_while(|_| mio::net::UnixStream::connect(&name).ok()).collect();
-    assert!(waiting.len() < 10, "its queue has an end");
-    let (files, log) = (f.files(), f.harness.proxy.log.clone());
+    let waiting: Vec<_> = (0..10).map_while(|_| mio::net::UnixStream::connect(&socket_path).ok()).collect();
+    assert!(waiting.len() < 10, "the listen backlog is limited");
+    let (files, log) = (predecessor.files(), predecessor.harness.proxy.log.clone());
     let (done, is_done) = std::sync::mpsc::channel();
     std::thread::spawn(move || done.send(predecessor::find(&files, &log).unwrap().is_none()));
-    // Only a hang gets there.
+    // Only a hang reaches this timeout.
     assert_eq!(is_done.recv_timeout(Duration::from_secs(60)), Ok(true));
 }
 
 // ---- new settings ----
 
 impl Harness {
-    /// New settings with a change to those that it began with.
-    fn resettle(&mut self, name: &str, change: impl FnOnce(&mut serde_json::Value)) {
+    /// Reloads the initial configuration with a change to its settings.
+    fn reload_settings(&mut self, name: &str, change: impl FnOnce(&mut serde_json::Value)) {
         let mut config = self.config.clone();
         change(&mut config["settings"]);
         assert!(self.reconfigure(name, &config.to_string()));
     }
 }
 
-/// A class's effect changes while a request of it waits for a dial, and again while its second try is out: it stays
-/// what it came as, and so does one that came with the new effect.
+/// The semantics of a class change while a request waits for a dial, and again before its second attempt:
+/// each request keeps the semantics with which it arrived.
 #[test]
-fn a_request_keeps_the_effect_that_it_came_with() {
+fn a_request_keeps_the_semantics_that_it_arrived_with() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
-    harness.wait_until("a dial", |proxy| proxy.pool.iter().any(|l| !l.1.waiting.is_empty()).then_some(()));
-    harness.resettle("effect", |s| s["classes"][0]["semantics"] = "at_most_once".into());
+    harness.wait_until("a dial", |proxy| {
+        proxy.pool.iter().any(|entry| !entry.1.waiting.is_empty()).then_some(())
+    });
+    harness.reload_settings("semantics", |s| s["classes"][0]["semantics"] = "at_most_once".into());
     let mut cache = harness.accept_cache();
     assert_eq!(harness.read_command(&mut cache)[1], request_id(1));
     client.write(&request(2, 2, "clip"));
-    harness.wait_until("the new one", |proxy| (proxy.requests.len() == 2).then_some(()));
-    harness.resettle("effect", |_| {});
+    harness.wait_until("the new request", |proxy| (proxy.requests.len() == 2).then_some(()));
+    harness.reload_settings("semantics", |_| {});
     drop(cache);
     let mut peers = vec![harness.accept_cache()];
-    // The first is asked for again; the second, that may not run twice, has failed.
+    // The first request is retried; the second, which must run at most once, fails.
     let (kind, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((kind, stream, payload[0]), (8, 2, 51));
     let listener = harness.cache.try_clone().unwrap();
-    let at = harness.wait_until("the second try", |_| {
+    let index = harness.wait_until("the second attempt", |_| {
         peers.extend(listener.accept().ok().map(|a| Peer::new(a.0)));
         peers.iter_mut().position(|p| {
             p.read_available();
             decode_command(&mut p.received).is_some_and(|c| c[1] == request_id(1))
         })
     });
-    peers[at].write(&response(&request_id(1), "ok", "-", "x"));
+    peers[index].write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
     assert!(harness.proxy.requests.by_id.is_empty() && harness.proxy.classes.open_requests() == 0);
 }
 
 #[test]
-fn fewer_attempts_than_were_made_and_fewer_places_than_are_taken_end_nothing_twice() {
+fn limits_lowered_below_the_current_use_end_each_request_once() {
     let mut harness = Harness::new();
     let (mut client, cache, _) = harness.forward_request();
     drop(cache);
     let mut cache = harness.accept_cache();
-    assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "its second attempt");
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(1), "the second attempt");
     client.write(&request(2, 2, "clip"));
-    harness.wait_until("another", |proxy| (proxy.requests.len() == 2).then_some(()));
-    harness.resettle("fewer", |s| {
+    harness.wait_until("the second request", |proxy| (proxy.requests.len() == 2).then_some(()));
+    harness.reload_settings("fewer", |s| {
         (s["limits"]["max-attempts"], s["limits"]["max-open"]) = (1.into(), 1.into());
         (s["limits"]["multiplex"], s["limits"]["dial-timeout-us"]) = (1.into(), 1_000.into());
     });
     client.write(&request(3, 3, "clip"));
     let (_, stream, payload) = harness.read_frame(&mut client);
-    assert_eq!((stream, payload[0]), (3, 50), "all places are taken");
+    assert_eq!((stream, payload[0]), (3, 50), "max-open is reached");
     cache.write(&response(&request_id(1), "refused", "-", ""));
     let (_, stream, payload) = harness.read_frame(&mut client);
-    assert_eq!((stream, payload[0]), (1, 50), "no attempt is left");
+    assert_eq!((stream, payload[0]), (1, 50), "max-attempts is reached");
     harness.skip(1_500 * MILLISECOND);
     let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (2, 51));
@@ -266,33 +284,34 @@
             && harness.proxy.classes.open_requests() == 0
             && harness.proxy.requests.body_bytes() == 0
     );
-    assert!(harness.proxy.pool.iter().all(|l| l.1.is_idle()));
+    assert!(harness.proxy.pool.iter().all(|entry| entry.1.is_idle()));
 }
 
-/// Clients hear of new settings 1.2 s after the signal. Until then they are as patient as they were told to be, and
-/// the connection, with all that is open on it, must not end for it.
+/// Clients learn of new settings 1.2 s after the signal. Until then they use their old timeouts, which must
+/// not end the connection and all its open requests.
 #[test]
-fn who_has_not_heard_of_a_shorter_deadline_is_not_turned_away() {
+fn a_client_not_yet_told_of_a_shorter_deadline_keeps_its_connection() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
-    harness.resettle("deadline", |s| s["classes"][0]["deadline-us"] = 300_000.into());
+    harness.reload_settings("deadline", |s| s["classes"][0]["deadline-us"] = 300_000.into());
     client.write(&request(2, 2, "clip"));
-    assert_eq!(harness.read_command(&mut cache)[1], request_id(2), "1.5 s are more than four times 0.3 s");
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(2), "1.5 s is more than four times 0.3 s");
     for number in [1, 2] {
         cache.write(&response(&request_id(number), "ok", "-", "x"));
         assert_eq!(harness.read_frame(&mut client).1, number);
     }
     harness.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
     client.write(&request(3, 3, "clip"));
-    assert_eq!(harness.read_frame(&mut client).1, 0, "nobody means that any more");
+    assert_eq!(harness.read_frame(&mut client).1, 0, "the old timeout is a protocol error by now");
 }
 
-/// The same for a class that becomes a keyed one: a client that has not heard sends no key.
+/// A client that does not know yet that a class requires an idempotency key sends none, which must not end its
+/// connection.
 #[test]
-fn who_has_not_heard_that_a_class_wants_a_key_keeps_the_connection() {
+fn a_client_not_yet_told_that_a_class_requires_a_key_keeps_its_connection() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
-    harness.resettle("keyed", |s| s["classes"][0]["semantics"] = "deduplicated".into());
+    harness.reload_settings("keyed", |s| s["classes"][0]["semantics"] = "deduplicated".into());
     client.write(&request(2, 2, "clip"));
     let (_, stream, payload) = harness.read_frame(&mut client);
     assert_eq!((stream, payload[0]), (2, 50));
@@ -300,22 +319,25 @@
     assert_eq!(harness.read_frame(&mut client).1, 1);
 }
 
-/// Two wait for one dial when the settings come to allow one request a connection.
+/// Two requests wait for one dial when new settings allow one request per connection.
 #[test]
-fn no_more_are_written_to_a_connection_than_the_settings_allow_by_then() {
+fn a_multiplex_limit_lowered_during_a_dial_is_kept_when_the_dial_completes() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&[request(1, 1, "clip"), request(2, 2, "clip")].concat());
-    harness.wait_until("a dial", |proxy| proxy.pool.iter().any(|l| l.1.waiting.len() == 2).then_some(()));
-    harness.resettle("multiplex", |s| s["limits"]["multiplex"] = 1.into());
+    harness.wait_until("a dial", |proxy| {
+        proxy.pool.iter().any(|entry| entry.1.waiting.len() == 2).then_some(())
+    });
+    harness.reload_settings("multiplex", |s| s["limits"]["multiplex"] = 1.into());
     let mut cache = harness.accept_cache();
     harness.read_command(&mut cache);
-    assert!(harness.proxy.pool.iter().all(|l| l.1.in_flight.len() <= 1));
+    assert!(harness.proxy.pool.iter().all(|entry| entry.1.in_flight.len() <= 1));
 }
 
-/// A class is dropped and comes again as it was, while a request of it is open, and with SIGTERM behind it in one turn.
+/// A class is dropped and added again unchanged while a request of it is open, then dropped with SIGTERM in
+/// the same turn.
 #[test]
-fn a_class_dropped_and_there_again_is_the_one_that_it_was() {
+fn a_class_dropped_and_added_again_keeps_its_number() {
     let mut harness = Harness::new();
     let (mut client, mut cache, _) = harness.forward_request();
     let drop_first = |s: &mut serde_json::Value| {
@@ -324,13 +346,13 @@
             s["domain"][list].as_array_mut().unwrap().remove(0);
         }
     };
-    harness.resettle("again", drop_first);
-    harness.resettle("again", |_| {});
+    harness.reload_settings("again", drop_first);
+    harness.reload_settings("again", |_| {});
     client.write(&request(2, 2, "clip"));
     assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
     let numbers: BTreeSet<usize> = harness.proxy.requests.by_id.values().map(|o| o.class).collect();
-    assert_eq!(numbers.len(), 1, "one class all the time");
-    harness.resettle("again", drop_first);
+    assert_eq!(numbers.len(), 1, "the class keeps its number");
+    harness.reload_settings("again", drop_first);
     harness.proxy.shut_down();
     for number in [1, 2] {
         cache.write(&response(&request_id(number), "ok", "-", "x"));
@@ -342,9 +364,10 @@
     assert!(harness.proxy.is_drained());
 }
 
-/// A site without zones, with one kind and no bound on open requests; dials longer than any client waits.
+/// A configuration without zones, optional lists and a bound on open requests, and with a dial timeout longer
+/// than any client waits.
 #[test]
-fn a_site_that_leaves_out_what_it_does_not_have_is_served() {
+fn a_configuration_without_optional_settings_is_served() {
     let mut harness = Harness::with(|c| {
         let settings = &mut c["settings"];
         settings["failure-domains"] = serde_json::json!([]);
@@ -365,7 +388,7 @@
     for n in 1..=3 {
         client.write(&request(n, n, "clip"));
         let mut cache = harness.accept_cache();
-        assert_eq!(harness.read_command(&mut cache)[1], request_id(n), "one request a connection");
+        assert_eq!(harness.read_command(&mut cache)[1], request_id(n), "one request per connection");
         caches.push(cache);
     }
     for (cache, n) in caches.iter_mut().zip(1..) {
@@ -375,16 +398,16 @@
     assert!(harness.proxy.requests.by_id.is_empty());
 }
 
-// ---- everything at once ----
+// ---- random sequences of events ----
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Request { client: usize, class: usize },
-    Leave { client: usize, which: usize },
+    Cancel { client: usize, which: usize },
     Close { client: usize },
-    Answer { which: usize, word: usize, twice: bool },
+    Answer { which: usize, status: usize, twice: bool },
     Break { which: usize },
-    Spoil { which: usize },
+    SendMalformed { which: usize },
     Settings { which: usize },
     Purge,
     List { healthy: bool },
@@ -393,44 +416,44 @@
 }
 
 const CLIENTS: usize = 3;
-const WORDS: [&str; 5] = ["ok", "nothing", "refused", "error", "stale"];
+const STATUSES: [&str; 5] = ["ok", "nothing", "refused", "error", "stale"];
 
-/// Clients and endpoints that do what the steps say, and what the module was told at which moment.
-struct Storm {
+/// Clients and endpoints that execute the steps, and the time of each event that the router received.
+struct Scenario {
     harness: Harness,
     clients: Vec<Option<(Peer, u32)>>,
     endpoints: Vec<Peer>,
-    /// What was asked, by endpoint connection.
-    asked: Vec<(usize, String)>,
+    /// Unanswered attempts: the index of the endpoint connection and the request ID.
+    unanswered: Vec<(usize, String)>,
     requests: u32,
     times: Vec<Micros>,
 }
 
-impl Storm {
+impl Scenario {
     fn new() -> Self {
         let clients = (0..CLIENTS).map(|_| None).collect();
         let harness = Harness::new();
-        let mut storm = Storm {
+        let mut scenario = Scenario {
             harness,
             clients,
             endpoints: Vec::new(),
-            asked: Vec::new(),
+            unanswered: Vec::new(),
             requests: 0,
             times: Vec::new(),
         };
-        storm.note();
-        storm
+        scenario.record_times();
+        scenario
     }
 
-    /// Whatever the module has been told since was told at this moment.
-    fn note(&mut self) {
+    /// Records the current time for all events that the router received since the last call.
+    fn record_times(&mut self) {
         self.times.resize(self.harness.events.all().len(), self.harness.proxy.now);
     }
 
     fn turn(&mut self) {
         self.harness.proxy.timers.set(0, TimerEvent::AcceptRetry);
         self.harness.proxy.turn().unwrap();
-        self.note();
+        self.record_times();
         for listener in [&self.harness.cache, &self.harness.origin] {
             while let Ok((stream, _)) = listener.accept() {
                 self.endpoints.push(Peer::new(stream));
@@ -438,9 +461,9 @@
         }
         for (n, endpoint) in self.endpoints.iter_mut().enumerate() {
             endpoint.read_available();
-            while let Some(words) = decode_command(&mut endpoint.received) {
-                if words[0] == "want" {
-                    self.asked.push((n, words[1].clone()));
+            while let Some(arguments) = decode_command(&mut endpoint.received) {
+                if arguments[0] == "want" {
+                    self.unanswered.push((n, arguments[1].clone()));
                 }
             }
         }
@@ -461,15 +484,15 @@
                 let bytes = request_with(*stream, self.requests, class, &[("nonce", "0c")]);
                 let _ = peer.stream.write_all(&bytes);
             }
-            Step::Leave { client, which } => {
+            Step::Cancel { client, which } => {
                 if let Some((peer, streams)) = self.clients[client].as_mut().filter(|c| c.1 > 0) {
                     let _ = peer.stream.write_all(&frame(9, 1 + which as u32 % *streams, &[]));
                 }
             }
             Step::Close { client } => self.clients[client] = None,
-            Step::Answer { which, word, twice } if !self.asked.is_empty() => {
-                let (endpoint, id) = self.asked.remove(which % self.asked.len());
-                let bytes = response(&id, WORDS[word], "tag=4be0c1927d55a6f3,minted=1", "x");
+            Step::Answer { which, status, twice } if !self.unanswered.is_empty() => {
+                let (endpoint, id) = self.unanswered.remove(which % self.unanswered.len());
+                let bytes = response(&id, STATUSES[status], "tag=4be0c1927d55a6f3,minted=1", "x");
                 for _ in 0..1 + usize::from(twice) {
                     let _ = self.endpoints[endpoint].stream.write_all(&bytes);
                 }
@@ -477,13 +500,13 @@
             Step::Break { which } if !self.endpoints.is_empty() => {
                 let which = which % self.endpoints.len();
                 let _ = self.endpoints[which].stream.shutdown(std::net::Shutdown::Both);
-                self.asked.retain(|a| a.0 != which);
+                self.unanswered.retain(|a| a.0 != which);
             }
-            Step::Spoil { which } if !self.endpoints.is_empty() => {
+            Step::SendMalformed { which } if !self.endpoints.is_empty() => {
                 let which = which % self.endpoints.len();
                 let _ = self.endpoints[which].stream.write_all(b"?!\r\n");
             }
-            Step::Settings { which } => self.harness.resettle("storm", |s| match which {
+            Step::Settings { which } => self.harness.reload_settings("scenario", |s| match which {
                 0 => {}
                 1 => s["classes"][0]["semantics"] = "at_most_once".into(),
                 2 => {
@@ -511,14 +534,14 @@
             Step::Wait { ms } => self.harness.proxy.clock.skip(ms * MILLISECOND),
             _ => {}
         }
-        self.note();
+        self.record_times();
         if matches!(step, Step::Turn | Step::Wait { .. }) {
             self.turn();
         }
     }
 
-    /// Lets everybody's patience end, then looks for what is still held.
-    fn end(mut self) {
+    /// Skips time past every client timeout, then asserts that the proxy holds nothing any more.
+    fn finish(mut self) {
         for _ in 0..16 {
             self.harness.proxy.clock.skip(SWEEP_INTERVAL);
             self.turn();
@@ -529,36 +552,41 @@
             (proxy.requests.body_bytes(), proxy.classes.open_requests(), proxy.admin_metrics.concurrent()),
             (0, 0, 0)
         );
-        let held = proxy.pool.iter().map(|l| l.1.in_flight.len() + l.1.waiting.len()).sum::<usize>();
-        assert_eq!(held, 0, "places on connections to depots");
+        let occupied =
+            proxy.pool.iter().map(|entry| entry.1.in_flight.len() + entry.1.waiting.len()).sum::<usize>();
+        assert_eq!(occupied, 0, "attempts on upstream connections");
         assert!(proxy.clients.values().all(|c| c.open_streams.is_empty()));
-        self.module();
+        self.replay_router();
     }
 
-    /// The module again, told the same at the same moments: each attempt that it had sent has had its outcome, so that
-    /// each place that it counts was given back. Equal seeds and events give equal actions.
-    fn module(&self) {
+    /// Replays the recorded events to a new router at the same times and asserts that each attempt it sent
+    /// got exactly one outcome, so that the router counts nothing as in flight. Equal seeds and events give
+    /// equal actions.
+    fn replay_router(&self) {
         let config = Config::parse(&self.harness.config.to_string(), "test".into()).unwrap();
         let mut classes = ClassTable::default();
         classes.apply(0, &config.settings);
         let mut router = Router::new(classes.for_router(&config.settings, false), config.seed);
-        let mut out: BTreeSet<(Id, u32)> = BTreeSet::new();
-        let mut sent: FxHashMap<Id, u32> = FxHashMap::default();
+        let mut in_flight: BTreeSet<(Id, u32)> = BTreeSet::new();
+        let mut attempts_sent: FxHashMap<Id, u32> = FxHashMap::default();
         for (event, now) in self.harness.events.all().iter().zip(&self.times) {
             if let Event::Outcome(o) = event {
-                assert!(out.remove(&(o.request.clone(), o.attempt)), "an outcome of what is not out: {o:?}");
+                assert!(
+                    in_flight.remove(&(o.request.clone(), o.attempt)),
+                    "an outcome of an attempt that is not in flight: {o:?}"
+                );
             }
             let mut actions = Vec::new();
             router.handle(*now, event.clone(), &mut actions);
             for action in actions {
                 if let Action::Send { request, .. } = action {
-                    let number = sent.entry(request.clone()).or_default();
-                    out.insert((request, *number));
+                    let number = attempts_sent.entry(request.clone()).or_default();
+                    in_flight.insert((request, *number));
                     *number += 1;
                 }
             }
         }
-        assert!(out.is_empty(), "the module still counts {out:?}");
+        assert!(in_flight.is_empty(), "the router still counts {in_flight:?}");
     }
 }
 
@@ -566,12 +594,12 @@
     use proptest::prelude::*;
     let step = prop_oneof![
         6 => (0..CLIENTS, 0..3usize).prop_map(|(client, class)| Step::Request { client, class }),
-        2 => (0..CLIENTS, 0..8usize).prop_map(|(client, which)| Step::Leave { client, which }),
+        2 => (0..CLIENTS, 0..8usize).prop_map(|(client, which)| Step::Cancel { client, which }),
         1 => (0..CLIENTS).prop_map(|client| Step::Close { client }),
-        5 => (0..8usize, 0..WORDS.len(), prop::bool::weighted(0.2))
-            .prop_map(|(which, word, twice)| Step::Answer { which, word, twice }),
+        5 => (0..8usize, 0..STATUSES.len(), prop::bool::weighted(0.2))
+            .prop_map(|(which, status, twice)| Step::Answer { which, status, twice }),
         1 => (0..8usize).prop_map(|which| Step::Break { which }),
-        1 => (0..8usize).prop_map(|which| Step::Spoil { which }),
+        1 => (0..8usize).prop_map(|which| Step::SendMalformed { which }),
         2 => (0..5usize).prop_map(|which| Step::Settings { which }),
         1 => Just(Step::Purge),
         2 => prop::bool::ANY.prop_map(|healthy| Step::List { healthy }),
@@ -584,53 +612,59 @@
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { cases: 96, ..crate::net::testing::config() })]
 
-    /// Whatever ends meet in whatever turn: each place is given back, once.
+    /// Whatever events coincide in one turn, each attempt and request releases its slot exactly once.
     #[test]
-    fn every_place_is_free_again_after_whatever_came(steps in steps()) {
-        let mut storm = Storm::new();
+    fn all_slots_are_released_after_any_sequence_of_events(steps in steps()) {
+        let mut scenario = Scenario::new();
         for step in steps {
-            storm.step(step);
+            scenario.step(step);
         }
-        storm.end();
+        scenario.finish();
     }
 }
 
-/// An endpoint breaks under requests of a client that is gone in the same turn. The first of them gets its final answer,
-/// writing that shows that the client is gone, and the second, whose outcome still waits to be told, is over before it
-/// is: told that it is not, the module sends it anew, and nobody tells how that ended.
+/// An endpoint's connection breaks in the turn in which the client disconnects. Writing the final response of
+/// the first request shows that the client is gone, which ends the second request while its outcome is still
+/// queued. If that outcome were passed to the router as not final, the router would send a new attempt whose
+/// outcome is never reported.
 #[test]
-fn who_is_found_gone_while_outcomes_wait_leaves_no_place_taken() {
+fn a_client_found_disconnected_while_outcomes_are_queued_leaves_no_slot_occupied() {
     for swapped in [false, true] {
-        let mut storm = Storm::new();
-        storm.harness.resettle("gone", |s| s["classes"][1]["semantics"] = "at_most_once".into());
-        storm.note();
-        let mut client = storm.harness.connect_client();
+        let mut scenario = Scenario::new();
+        scenario
+            .harness
+            .reload_settings("disconnected", |s| s["classes"][1]["semantics"] = "at_most_once".into());
+        scenario.record_times();
+        let mut client = scenario.harness.connect_client();
         let (one, two) = if swapped { ("clip", "page") } else { ("page", "clip") };
         for (n, class) in [(1, one), (2, two), (3, one)] {
             client.write(&request(n, n, class));
         }
         for _ in 0..MAX_TURNS {
-            storm.turn();
-            if storm.asked.len() == 3 {
+            scenario.turn();
+            if scenario.unanswered.len() == 3 {
                 break;
             }
         }
-        let first = storm.asked[0].0;
-        let id: Id = storm.asked[0].1.as_str().into();
-        assert!(storm.harness.proxy.requests.contains(&id));
-        storm.endpoints[first].stream.shutdown(std::net::Shutdown::Both).unwrap();
-        // Its close is a reset: the next write to it fails.
+        let first = scenario.unanswered[0].0;
+        let id: Id = scenario.unanswered[0].1.as_str().into();
+        assert!(scenario.harness.proxy.requests.contains(&id));
+        scenario.endpoints[first].stream.shutdown(std::net::Shutdown::Both).unwrap();
+        // With no linger time the close sends a reset: the next write to the client fails.
         rustix::net::sockopt::set_socket_linger(&client.stream, Some(Duration::ZERO)).unwrap();
         drop(client);
-        // The break is heard of before the client's end.
-        let proxy = &mut storm.harness.proxy;
-        let token = *proxy.pool.iter().find(|l| l.1.in_flight.contains_key(&id)).unwrap().0;
-        let link = proxy.pool.get_mut(token).unwrap();
-        assert!((0..1_000_000).any(|_| link.conn.transport().peek(&mut [0]).is_ok()), "never broke");
+        // The proxy handles the broken upstream connection before the client's end.
+        let proxy = &mut scenario.harness.proxy;
+        let token = *proxy.pool.iter().find(|entry| entry.1.in_flight.contains_key(&id)).unwrap().0;
+        let upstream = proxy.pool.get_mut(token).unwrap();
+        assert!(
+            (0..1_000_000).any(|_| upstream.conn.transport().peek(&mut [0]).is_ok()),
+            "the connection did not break"
+        );
         proxy.handle_ready(Ready { token, readable: true, writable: false, ended: true });
-        storm.note();
-        storm.turn();
-        storm.clients.clear();
-        storm.end();
+        scenario.record_times();
+        scenario.turn();
+        scenario.clients.clear();
+        scenario.finish();
     }
 }
--- a/src/proxy/tests/requests.rs
+++ b/src/proxy/tests/requests.rs
@@ -1,14 +1,14 @@
-//! Requests and their one response.
+//! Requests and their responses: each request gets exactly one.
 
 use super::*;
 
 #[test]
 fn a_request_is_forwarded_to_the_cache_and_its_body_returned_unchanged() {
     let mut harness = Harness::new();
-    let (mut client, mut cache, want) = harness.forward_request();
-    assert_eq!((&want[0][..], &want[1][..], &want[3][..]), ("want", &request_id(1)[..], ""));
+    let (mut client, mut cache, command) = harness.forward_request();
+    assert_eq!((&command[0][..], &command[1][..], &command[3][..]), ("want", &request_id(1)[..], ""));
     for field in ["c=clip", "k=7f3a9c21e0b4d655", "p=3", "via=s-00000002", "tier=1"] {
-        assert!(has_field(&want, field), "{field} in {}", want[2]);
+        assert!(has_field(&command, field), "{field} in {}", command[2]);
     }
     cache.write(&response(
         &request_id(1),
@@ -27,9 +27,10 @@
     let mut client = harness.connect_client();
     client.write(&request_with(1, 1, "edit", &[("nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")]));
     let mut origin = harness.accept(|harness| &harness.origin);
-    let want = harness.read_command(&mut origin);
-    assert!(has_field(&want, "i=5c0f6e1a2b3d4c59a8b7c6d5e4f30211") && want[3] == "the edit");
-    // Lost after it was wholly written: it may have run, and the module must hear so.
+    let command = harness.read_command(&mut origin);
+    assert!(has_field(&command, "i=5c0f6e1a2b3d4c59a8b7c6d5e4f30211") && command[3] == "the edit");
+    // The connection is lost after the request was completely written: it may have run, and the router must
+    // be told so.
     drop(origin);
     let mut origin = harness.accept(|harness| &harness.origin);
     let again = harness.read_command(&mut origin);
@@ -37,10 +38,11 @@
     assert_eq!(harness.outcomes(), [(AttemptStatus::Reset, false)]);
 }
 
-/// Guards the other requests of a connection: a request that no transfer could bring in time breaks no protocol.
+/// Guards the other requests of a connection: a request too large to be transferred within its timeout is no protocol
+/// error.
 #[test]
-fn a_request_too_large_for_its_time_is_rejected_alone_and_its_connection_goes_on() {
-    // At this pace the 412.5 KB of a request take 2 s.
+fn a_request_too_large_for_its_timeout_is_rejected_and_its_connection_stays_open() {
+    // At this rate the 412.5 KB of a request take 2 s.
     let mut harness = Harness::with(|c| {
         c["settings"]["domain"]["flow-kb-per-s"] = 200.0.into();
         c["settings"]["classes"][0]["deadline-us"] = 400_000.into();
@@ -49,11 +51,7 @@
     client.write(&[request(1, 1, "page"), request(2, 2, "clip")].concat());
     let mut cache = harness.accept_cache();
     assert_eq!(harness.read_command(&mut cache)[1], request_id(1));
-    assert_eq!(
-        harness.read_frame(&mut client),
-        (8, 2, vec![50, 0]),
-        "refused at once, without advice to come again"
-    );
+    assert_eq!(harness.read_frame(&mut client), (8, 2, vec![50, 0]), "rejected at once, without retry_after");
     assert_eq!((harness.proxy.metrics.attempts, harness.proxy.metrics.client_protocol_errors), (1, 0));
     cache.write(&response(&request_id(1), "ok", "-", "x"));
     assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x00x".to_vec()));
@@ -63,26 +61,26 @@
 }
 
 #[test]
-fn a_current_copy_of_the_client_is_answered_without_a_body() {
+fn a_client_with_the_current_copy_is_answered_without_a_body() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     client.write(&request_with(1, 1, "page", &[("got", "4be0c1927d55a6f3")]));
     let mut cache = harness.accept_cache();
-    let want = harness.read_command(&mut cache);
-    assert!(has_field(&want, "known=4be0c1927d55a6f3"), "{}", want[2]);
+    let command = harness.read_command(&mut cache);
+    assert!(has_field(&command, "known=4be0c1927d55a6f3"), "{}", command[2]);
     cache.write(&response(&request_id(1), "current", "tag=4be0c1927d55a6f3,minted=1,note=hit", ""));
     assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x14\x01\x05ok304\x00\x011".to_vec()));
 }
 
 #[test]
-fn a_refused_dial_is_rejected_with_retry_after() {
+fn a_request_whose_dial_is_refused_is_rejected_with_retry_after() {
     let mut harness = Harness::new();
-    let nowhere = StdListener::bind("127.0.0.1:0").unwrap();
-    harness.cache = nowhere.try_clone().unwrap();
-    let address = nowhere.local_addr().unwrap();
+    let closed_listener = StdListener::bind("127.0.0.1:0").unwrap();
+    harness.cache = closed_listener.try_clone().unwrap();
+    let address = closed_listener.local_addr().unwrap();
     harness.update_cache_entry(|e| e.address = address);
     drop(std::mem::replace(&mut harness.cache, StdListener::bind("127.0.0.1:0").unwrap()));
-    drop(nowhere);
+    drop(closed_listener);
     let mut client = harness.connect_client();
     client.write(&request(1, 1, "clip"));
     let (kind, stream, payload) = harness.read_frame(&mut client);
@@ -104,17 +102,17 @@
     assert_eq!(harness.read_command(&mut cache), ["never_mind".to_owned(), request_id(1)]);
     assert_eq!(harness.read_frame(&mut client), (8, 1, vec![51, 0]));
     assert_eq!(harness.outcomes(), [(AttemptStatus::TimedOut, false)]);
-    // A late answer to what is over is ignored, and so is the guard's own timer.
+    // A late response to an ended request is ignored, and so is the timer of the request timeout.
     cache.write(&response(&request_id(1), "ok", "-", "late"));
-    harness.wait_until("the late answer", |proxy| (proxy.metrics.late_responses == 1).then_some(()));
+    harness.wait_until("the late response", |proxy| (proxy.metrics.late_responses == 1).then_some(()));
     harness.skip(1_000 * MILLISECOND);
     harness.expect_silence(&mut client);
     assert_eq!(harness.outcomes().len(), 1);
 }
 
-/// Guards clients in a hurry: of 40 ms no part that is worth anything may be held back.
+/// Guards against a response margin that uses up a large part of a short timeout, such as 40 ms.
 #[test]
-fn nearly_all_of_a_short_timeout_is_used() {
+fn nearly_all_of_a_short_timeout_is_available_for_attempts() {
     let mut harness = Harness::new();
     let mut client = harness.connect_client();
     let mut bytes = request(1, 1, "clip");
@@ -173,12 +171,12 @@
 }
 
 #[test]
-fn bodies_beyond_the_bound_are_rejected_at_once() {
+fn requests_beyond_the_body_bound_are_rejected_at_once() {
     let mut harness = Harness::new();
-    let most = harness.proxy.bounds.request_bodies;
-    harness.proxy.requests.body_bytes = most;
+    let body_bound = harness.proxy.bounds.request_bodies;
+    harness.proxy.requests.body_bytes = body_bound;
     let mut client = harness.connect_client();
     client.write(&request_with(1, 1, "edit", &[("nonce", "5c0f6e1a2b3d4c59")]));
     assert_eq!(harness.read_frame(&mut client), (8, 1, b"\x32\x01\x05pause\x00\x042000".to_vec()));
-    assert_eq!(harness.proxy.requests.body_bytes(), most);
+    assert_eq!(harness.proxy.requests.body_bytes(), body_bound);
 }
--- a/src/proxy/tests/system_calls.rs
+++ b/src/proxy/tests/system_calls.rs
@@ -1,19 +1,19 @@
-//! System calls that fail in ways that Linux documents, at the seam of the loop.
+//! System calls that fail with errors that Linux documents, injected at the event loop.
 
 use super::*;
 use rustix::io::Errno;
 use std::collections::VecDeque;
 
-/// Errors with which the next sockets are refused.
+/// Errors with which the registrations of the next sockets fail.
 #[derive(Clone, Default)]
-struct Refusals(Rc<RefCell<VecDeque<Errno>>>);
+struct InjectedErrors(Rc<RefCell<VecDeque<Errno>>>);
 
-impl Refusals {
-    fn injected(harness: &mut Harness) -> Self {
-        let refusals = Refusals::default();
-        let next = refusals.0.clone();
+impl InjectedErrors {
+    fn install(harness: &mut Harness) -> Self {
+        let injected_errors = InjectedErrors::default();
+        let next = injected_errors.0.clone();
         harness.proxy.event_loop.inject_faults(Box::new(move || Some(next.borrow_mut().pop_front()?.into())));
-        refusals
+        injected_errors
     }
 
     fn extend(&self, errors: impl IntoIterator<Item = Errno>) {
@@ -25,13 +25,13 @@
     }
 }
 
-/// A connection that was accepted is one on which requests count as taken: it is not let go because the poll has no
-/// room for it in this moment. Seen failing: it was closed, with the request on it.
+/// Guards against closing an accepted connection, with a request on it, because the poll has no room for it at the
+/// moment.
 #[test]
-fn a_connection_that_the_poll_can_not_take_yet_is_kept() {
+fn an_accepted_connection_that_the_poll_cannot_register_yet_is_kept() {
     for errno in [Errno::NOMEM, Errno::NOSPC] {
         let mut harness = Harness::new();
-        Refusals::injected(&mut harness).extend([errno; 3]);
+        InjectedErrors::install(&mut harness).extend([errno; 3]);
         let mut client = harness.connect_client();
         client.write(&request(1, 1, "clip"));
         let mut cache = harness.accept_cache();
@@ -41,10 +41,10 @@
     }
 }
 
-/// A dial that the system refuses proves that nothing ran: the request is answered, in any class, and later ones are
-/// served by the same endpoint.
+/// A dial that the operating system refuses proves that the request did not run: it is rejected, in any
+/// class, and the same endpoint serves later requests.
 #[test]
-fn a_dial_that_the_system_refuses_ends_no_request_without_an_answer() {
+fn a_request_whose_dial_the_system_refuses_gets_a_response() {
     let errors = [
         Errno::NFILE,
         Errno::NOBUFS,
@@ -58,23 +58,23 @@
     for errno in errors {
         for route in ["clip", "edit"] {
             let mut harness = Harness::new();
-            // The channel is dialed already: its dial would take an idle client's descriptor.
+            // The command channel is connected first: its dial would close an idle client to free a descriptor.
             let _channel = harness.accept(|harness| &harness.channel);
             let mut client = harness.connect_client();
             harness.wait_until("the client", |proxy| (proxy.clients.len() == 1).then_some(()));
-            let refusals = Refusals::injected(&mut harness);
-            refusals.extend([errno; 12]);
+            let injected_errors = InjectedErrors::install(&mut harness);
+            injected_errors.extend([errno; 12]);
             let nonce: &[(&str, &str)] = &[("nonce", "5c0f6e1a2b3d4c59")];
             client.write(&request_with(1, 1, route, if route == "edit" { nonce } else { &[] }));
             let (kind, stream, payload) = harness.read_frame(&mut client);
             assert_eq!(
                 (kind, stream, payload[0]),
                 (8, 1, 50),
-                "{errno:?} {route}: nothing ran, a try does no harm"
+                "{errno:?} {route}: nothing ran, a retry is safe"
             );
-            refusals.clear();
+            injected_errors.clear();
             harness.skip(1_500 * MILLISECOND);
-            // The seam refuses what the system had connected already.
+            // The injected errors are returned after the system has connected the sockets; those are discarded here.
             while harness.cache.accept().is_ok() || harness.origin.accept().is_ok() {}
             client.write(&request_with(2, 2, route, if route == "edit" { nonce } else { &[] }));
             let mut endpoint = harness.accept(if route == "edit" {
