--- a/crates/fleet-simulation/src/loopback/hollow.rs
+++ b/crates/fleet-simulation/src/loopback/hollow.rs
@@ -37,7 +37,7 @@
 
     fn next(&self) -> Micros {
         match self {
-            Driver::Documents(d) => d.next(),
+            Driver::Documents(d) => d.next_due(),
             Driver::List(d) => d.next_due(),
         }
     }
@@ -133,7 +133,7 @@
                     let name = format!("hollow-{n}");
                     let mut driver =
                         DocumentsDriver::new(endpoints, PREFIX, LEASE, &name, seed, now, log.clone());
-                    driver.campaign(true);
+                    driver.set_campaigning(true);
                     Driver::Documents(Box::new(driver))
                 }
                 Kind::List => {
@@ -194,7 +194,7 @@
                 return Ok(());
             }
             let now = self.clock.now();
-            let next = self.timers.next().map_or(left, |t| Duration::from_micros(t.saturating_sub(now)));
+            let next = self.timers.next_due().map_or(left, |t| Duration::from_micros(t.saturating_sub(now)));
             let mut ready = std::mem::take(&mut self.ready);
             self.event_loop.wait(next.min(left), &mut ready).map_err(io("poll"))?;
             let now = self.clock.now();
@@ -207,7 +207,7 @@
             self.ready = ready;
             // Those that were set meanwhile have the next round.
             let mut turns = Vec::new();
-            while let Some((at, n)) = self.timers.due(now) {
+            while let Some((at, n)) = self.timers.pop_due(now) {
                 if self.due[n] == at {
                     self.due[n] = Micros::MAX;
                     turns.push(n);
--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -79,7 +79,7 @@
     /// Makes the instance read its command channel before any other event that the poll would report.
     fn read_channel_first(&mut self) {
         let token = self.proxy.discovery.command_channel.token().unwrap();
-        self.proxy.handle_ready(Ready { token, readable: true, writable: false, ended: false });
+        self.proxy.handle_ready(Ready { token, readable: true, writable: false, read_closed: false });
     }
 
     fn metrics(&self) -> Metrics {
@@ -242,7 +242,7 @@
     let mut config = harness.config.clone();
     config["channel"] = elsewhere.local_addr().unwrap().to_string().into();
     assert!(harness.reconfigure("older", &config.to_string()));
-    harness.proxy.handle_ready(Ready { token, readable: true, writable: true, ended: false });
+    harness.proxy.handle_ready(Ready { token, readable: true, writable: true, read_closed: false });
     harness.channel = elsewhere;
     let (mut new, cursor) = harness.accept_watch();
     assert_eq!((cursor, harness.proxy.discovery.command_channel.cursor()), (CURSOR, CURSOR));
@@ -454,7 +454,7 @@
             });
             let due = harness.proxy.now + pause * MILLISECOND;
             let [before_due, at_due] =
-                [due - 1, due].map(|t| harness.proxy.discovery.command_channel.wants_dial(t));
+                [due - 1, due].map(|t| harness.proxy.discovery.command_channel.should_dial(t));
             assert!(!before_due && at_due, "{what}: {times}");
             if times == 1 {
                 // The endpoint list and all other connections are unchanged.
--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -29,7 +29,7 @@
         2 * halved.client_buffers <= full_bounds.client_buffers
             && 2 * halved.request_bodies <= full_bounds.request_bodies
     );
-    assert!(harness.proxy.lifecycle.takes_clients(), "this process accepts clients until the successor does");
+    assert!(harness.proxy.lifecycle.is_serving(), "this process accepts clients until the successor does");
     drop(successor);
     harness.wait_until("the end of the successor", |proxy| (!proxy.has_other_process()).then_some(()));
     assert_eq!((processes(), harness.proxy.bounds), (Some(1), full_bounds));
@@ -88,7 +88,7 @@
     old.proxy.takeover = Some(Takeover::new(files(), None, false, &mut old.proxy.event_loop));
     old.proxy.begin_serving();
     let when_ms = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis() as u64;
-    old.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms });
+    old.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms });
     old.skip(3_000 * MILLISECOND);
     let (successor_files, log) = (files(), old.proxy.log.clone());
     let search = std::thread::spawn(move || predecessor::find(&successor_files, &log).unwrap());
--- a/src/proxy/tests/processes.rs
+++ b/src/proxy/tests/processes.rs
@@ -83,8 +83,7 @@
         next.write_all(&predecessor.hello()).unwrap();
         predecessor.expect_offer(&mut next);
         assert!(
-            predecessor.harness.proxy.has_other_process()
-                && predecessor.harness.proxy.lifecycle.takes_clients()
+            predecessor.harness.proxy.has_other_process() && predecessor.harness.proxy.lifecycle.is_serving()
         );
         // A third process that connects to the new socket is refused.
         let mut third = predecessor.connect_socket();
@@ -115,7 +114,7 @@
         .harness
         .wait_until("the end of the successor", |proxy| (!proxy.has_other_process()).then_some(()));
     assert!(
-        predecessor.harness.proxy.lifecycle.takes_clients()
+        predecessor.harness.proxy.lifecycle.is_serving()
             && predecessor.harness.proxy.lifecycle.accepts_connections()
             && predecessor.harness.proxy.bounds != halved
     );
@@ -179,7 +178,7 @@
     predecessor.harness.wait_until("the partial request", |proxy| {
         proxy.clients.values().any(|c| c.conn.has_partial_message()).then_some(())
     });
-    let halved = Bounds::of(&predecessor.harness.proxy.configuration.limits, true, true).clients;
+    let halved = Bounds::from_limits(&predecessor.harness.proxy.configuration.limits, true, true).clients;
     let mut others: Vec<Peer> = (0..halved).map(|_| predecessor.harness.connect_client()).collect();
     for other in &mut others {
         other.write(&frame(1, 5, &[0]));
@@ -523,7 +522,7 @@
                 }
             }),
             Step::Purge => {
-                self.harness.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: 1 });
+                self.harness.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms: 1 });
                 self.harness.proxy.process_events();
             }
             Step::List { healthy } if self.harness.proxy.discovery.endpoint_list.entry(CACHE).is_some() => {
@@ -661,7 +660,7 @@
             (0..1_000_000).any(|_| upstream.conn.transport().peek(&mut [0]).is_ok()),
             "the connection did not break"
         );
-        proxy.handle_ready(Ready { token, readable: true, writable: false, ended: true });
+        proxy.handle_ready(Ready { token, readable: true, writable: false, read_closed: true });
         scenario.record_times();
         scenario.turn();
         scenario.clients.clear();
--- a/src/proxy/tests/races.rs
+++ b/src/proxy/tests/races.rs
@@ -29,8 +29,8 @@
     /// Handles the last action of the only client before any other event that the poll may report.
     fn handle_client_first(&mut self) {
         self.await_client_input();
-        let (token, readable, writable, ended) = (self.only_client(), true, false, false);
-        self.proxy.handle_ready(Ready { token, readable, writable, ended });
+        let (token, readable, writable, read_closed) = (self.only_client(), true, false, false);
+        self.proxy.handle_ready(Ready { token, readable, writable, read_closed });
     }
 
     /// Skips time without a turn of the event loop.
@@ -380,7 +380,7 @@
     assert_eq!(client.received, [frame(3, 0, &[]), frame(8, 2, b"\x14\x00y")].concat());
 }
 
-/// Fails without the check of `last_answer_at` in `Lifecycle::begins_requests`: nothing would wait for the
+/// Fails without the check of `drain_deadline` in `Lifecycle::admits_requests`: nothing would wait for the
 /// end of such a request.
 #[test]
 fn a_request_after_the_last_response_time_of_a_drain_is_rejected_at_once() {
@@ -388,7 +388,7 @@
     let (mut client, mut cache, _) = harness.forward_request();
     harness.proxy.shut_down();
     assert_eq!(harness.read_frame(&mut client).0, 3);
-    let last = harness.proxy.lifecycle.last_answer_at().unwrap();
+    let last = harness.proxy.lifecycle.drain_deadline().unwrap();
     harness.skip(last - harness.proxy.now);
     assert_eq!(harness.read_frame(&mut client), (8, 1, vec![51, 0]));
     assert_eq!(harness.read_command(&mut cache)[0], "never_mind");
@@ -468,7 +468,7 @@
     assert_eq!(harness.read_frame(&mut client), (8, 2, b"\x14\x00y".to_vec()));
 }
 
-/// Fails without `repeat_by` in `is_still_valid`: the dial outlasted the deduplication window, and the edit
+/// Fails without `retry_deadline` in `is_still_valid`: the dial outlasted the deduplication window, and the edit
 /// was written again.
 #[test]
 fn an_edit_that_may_have_run_is_not_written_again_after_its_deduplication_window() {
--- a/src/proxy/tests/upstreams.rs
+++ b/src/proxy/tests/upstreams.rs
@@ -28,8 +28,8 @@
 #[test]
 fn attempts_waiting_for_a_dial_are_dropped_after_a_purge_a_drain_or_an_incomplete_purge_log() {
     let purge = |proxy: &mut Proxy| {
-        let what = Purge::Object(0x7f3a9c21e0b4d655);
-        proxy.execute(Command::Purge { what, when_ms: 1 });
+        let scope = Purge::Object(0x7f3a9c21e0b4d655);
+        proxy.execute(Command::Purge { scope, when_ms: 1 });
     };
     let drain = |proxy: &mut Proxy| {
         let entry = proxy.discovery.endpoint_list.entry(CACHE).unwrap().clone();
--- a/src/proxy/tests/wall_clock.rs
+++ b/src/proxy/tests/wall_clock.rs
@@ -77,7 +77,7 @@
 fn the_age_of_a_purge_is_never_overestimated() {
     for error_ms in [-HOUR_MS, 0, HOUR_MS] {
         let mut harness = with_clock_error(error_ms, |_| {});
-        harness.proxy.execute(Command::Purge { what: Purge::Group(17), when_ms: unix_ms() });
+        harness.proxy.execute(Command::Purge { scope: Purge::Group(17), when_ms: unix_ms() });
         harness.proxy.process_events();
         harness.skip(600 * MILLISECOND);
         let mut client = harness.connect_client();
