--- a/src/proxy/tests/admin.rs
+++ b/src/proxy/tests/admin.rs
@@ -63,7 +63,7 @@
     let silent: Vec<Peer> = (0..40).map(|_| harness.connect_admin()).collect();
     let clients: Vec<Peer> = (0..40).map(|_| harness.connect_client()).collect();
     assert_eq!(harness.call("status\n"), "done serving\n");
-    harness.skip(crate::admin::PATIENCE + SWEEP_INTERVAL);
+    harness.skip(crate::admin::CONNECTION_TIMEOUT + SWEEP_INTERVAL);
     for mut caller in silent {
         harness.expect_end(&mut caller);
     }
--- a/tests/core_decisions/session.rs
+++ b/tests/core_decisions/session.rs
@@ -2,7 +2,7 @@
 //! replaced. A random run per seed is hashed and compared with the recorded digest.
 
 use crate::digest::{expect, Digest};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::registry::answers::{Decoder, KeyEntry, MessageError};
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, WatchResponse};
@@ -49,7 +49,7 @@
 
 fn settings(page: usize) -> Settings {
     let endpoints = (1..=ENDPOINTS).map(|port| ([127, 0, 0, 1], port).into()).collect();
-    Settings { page, most_keys: 24, ..Settings::new(endpoints, PREFIX) }
+    Settings { page, max_keys: 24, ..Settings::new(endpoints, PREFIX) }
 }
 
 fn decoder() -> Decoder {
