--- a/src/proxy/tests/configuration.rs
+++ b/src/proxy/tests/configuration.rs
@@ -1,61 +1,62 @@
-//! Reloads of the configuration.
+//! Configuration reloads.
 
 use super::*;
 
-impl World {
-    /// Puts a configuration in place and has the instance read it; whether it was taken over.
+impl Harness {
+    /// Writes a configuration file and reloads it; returns whether it was applied.
     pub(super) fn reconfigure(&mut self, name: &str, text: &str) -> bool {
         let path = std::env::temp_dir().join(format!("larchdale-{}-{name}.json", std::process::id()));
         std::fs::write(&path, text).unwrap();
         self.proxy.configuration.path = path.clone();
-        let [taken, turned_down] = self.proxy.admin_metrics.reloads;
+        let [applied, rejected] = self.proxy.admin_metrics.reloads;
         self.proxy.reload();
         self.proxy.process_events();
         std::fs::remove_file(path).unwrap();
         let now = self.proxy.admin_metrics.reloads;
-        assert_eq!(now[0] + now[1], taken + turned_down + 1, "each file is counted once");
-        now[0] > taken
+        assert_eq!(now[0] + now[1], applied + rejected + 1, "each reload is counted once");
+        now[0] > applied
     }
 }
 
 #[test]
-fn a_reload_adds_and_drops_classes_while_requests_of_both_are_open() {
-    let mut w = World::new();
-    let (mut client, mut cache, _) = w.asked();
-    let mut config = w.config.clone();
+fn a_reload_adds_and_drops_classes_while_requests_are_open() {
+    let mut harness = Harness::new();
+    let (mut client, mut cache, _) = harness.forward_request();
+    let mut config = harness.config.clone();
     let classes = config["settings"]["classes"].as_array_mut().unwrap();
     let mut new = classes[2].clone();
     new["name"] = "late-edit".into();
     classes.push(new);
     classes.remove(0);
-    // Its place is now another's, and fewer attempts are left to all.
+    // The lists by class move up with the classes, and every request is limited to one attempt.
     for list in ["max-age-us", "stale-for-us", "pass-on"] {
         let list = config["settings"]["domain"][list].as_array_mut().unwrap();
         list.push(list[2].clone());
         list.remove(0);
     }
     config["settings"]["limits"]["max-attempts"] = 1.into();
-    assert!(w.reconfigure("classes", &config.to_string()));
-    // The open one is answered as what it came as, and counted as that.
-    cache.put(&answer(&trace(1), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
-    // Clients have not heard yet: still served. Then refused on its stream, and nothing else ends.
-    client.put(&request(2, 2, "clip"));
-    assert_eq!(w.command(&mut cache)[1], trace(2));
-    cache.put(&answer(&trace(2), "ok", "-", "x"));
-    assert_eq!(w.frame(&mut client).2, b"\x14\x00x");
-    w.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
-    client.put(&request(3, 3, "clip"));
-    assert_eq!(w.frame(&mut client).2, [50, 0]);
+    assert!(harness.reconfigure("classes", &config.to_string()));
+    // The open request is answered and counted with the class that it arrived with.
+    cache.write(&response(&request_id(1), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
+    // Clients do not know the new configuration yet: the dropped class is still served. Later its requests
+    // are rejected one by one, and the connection stays open.
+    client.write(&request(2, 2, "clip"));
+    assert_eq!(harness.read_command(&mut cache)[1], request_id(2));
+    cache.write(&response(&request_id(2), "ok", "-", "x"));
+    assert_eq!(harness.read_frame(&mut client).2, b"\x14\x00x");
+    harness.skip(crate::config::settings::DROPPED_CLASS_SERVED_FOR_US);
+    client.write(&request(3, 3, "clip"));
+    assert_eq!(harness.read_frame(&mut client).2, [50, 0]);
     let edit = |stream, number| request_with(stream, number, "late-edit", &[("nonce", "0c")]);
-    client.put(&edit(4, 4));
-    let mut origin = w.accept(|w| &w.origin);
-    let want = w.command(&mut origin);
-    assert!(want[1] == trace(4) && has(&want, "c=late-edit"), "{want:?}");
-    // One attempt is all that there is now.
-    origin.put(&answer(&trace(4), "refused", "-", ""));
-    assert_eq!(w.frame(&mut client).2[0], 50);
-    let stats = w.call("stats\n");
+    client.write(&edit(4, 4));
+    let mut origin = harness.accept(|harness| &harness.origin);
+    let command = harness.read_command(&mut origin);
+    assert!(command[1] == request_id(4) && has_field(&command, "c=late-edit"), "{command:?}");
+    // The new limit is one attempt.
+    origin.write(&response(&request_id(4), "refused", "-", ""));
+    assert_eq!(harness.read_frame(&mut client).2[0], 50);
+    let stats = harness.call("stats\n");
     for line in [
         "clip\",status=\"success\"} 2",
         "clip\",status=\"overload\"} 1",
@@ -64,47 +65,52 @@
     ] {
         assert!(stats.contains(line), "{line}: {stats}");
     }
-    w.skip(crate::config::settings::DROPPED_CLASS_KNOWN_FOR_US);
-    let mut other = w.client();
-    other.put(&request(1, 5, "clip"));
-    assert_eq!(w.frame(&mut other).1, 0, "no class any more");
+    harness.skip(crate::config::settings::DROPPED_CLASS_KNOWN_FOR_US);
+    let mut other = harness.connect_client();
+    other.write(&request(1, 5, "clip"));
+    assert_eq!(harness.read_frame(&mut other).1, 0, "the class is unknown");
 }
 
 #[test]
 fn an_unusable_configuration_file_changes_nothing() {
-    let mut w = World::new();
-    let whole = w.config.to_string();
-    let (channel, settings) = (w.proxy.discovery.command_channel.address(), w.proxy.settings.clone());
-    let mut changed = w.config.clone();
+    let mut harness = Harness::new();
+    let original = harness.config.to_string();
+    let (channel, settings) =
+        (harness.proxy.discovery.command_channel.address(), harness.proxy.settings.clone());
+    let mut changed = harness.config.clone();
     changed["channel"] = "127.0.0.1:9".into();
     let text = changed.to_string();
     let deadline = |to: &str| text.replace("\"deadline-us\":6000000", &format!("\"deadline-us\":{to}"));
     let attempts = |to: &str| text.replace("\"max-attempts\":6", &format!("\"max-attempts\":{to}"));
-    let mut bad = vec![String::new(), text[..text.len() - 1].to_owned(), text[..text.len() / 2].to_owned()];
+    let mut invalid =
+        vec![String::new(), text[..text.len() - 1].to_owned(), text[..text.len() / 2].to_owned()];
     for value in ["0", "-5", "null", "\"6\"", "1e99", "NaN", "[]", "99999999999999999999", "1.5", "true"] {
-        bad.extend([deadline(value), attempts(value)]);
+        invalid.extend([deadline(value), attempts(value)]);
     }
     for key in ["listen", "seed", "channel", "settings", "limits"] {
-        let mut less = changed.clone();
-        less.as_object_mut().unwrap().remove(key);
-        bad.push(less.to_string());
+        let mut incomplete = changed.clone();
+        incomplete.as_object_mut().unwrap().remove(key);
+        invalid.push(incomplete.to_string());
     }
     for (within, key) in [("limits", "max-attempts"), ("domain", "pass-on"), ("rules", "fall-us")] {
-        let mut less = changed.clone();
-        less["settings"][within].as_object_mut().unwrap().remove(key);
-        bad.push(less.to_string());
+        let mut incomplete = changed.clone();
+        incomplete["settings"][within].as_object_mut().unwrap().remove(key);
+        invalid.push(incomplete.to_string());
     }
-    let mut less = changed.clone();
-    less["settings"]["classes"][1].as_object_mut().unwrap().remove("deadline-us");
-    bad.push(less.to_string());
+    let mut incomplete = changed.clone();
+    incomplete["settings"]["classes"][1].as_object_mut().unwrap().remove("deadline-us");
+    invalid.push(incomplete.to_string());
     let mut other = changed.clone();
     other["settings"]["zone"] = 1.into();
-    bad.push(other.to_string());
-    for text in &bad {
-        assert!(!w.reconfigure("bad", text), "{text}");
+    invalid.push(other.to_string());
+    for text in &invalid {
+        assert!(!harness.reconfigure("bad", text), "{text}");
     }
-    assert_eq!((w.proxy.discovery.command_channel.address(), &w.proxy.settings), (channel, &settings));
-    assert!(!w.events.all().iter().any(|e| matches!(e, Event::Settings(_))));
-    assert!(w.call("stats\n").contains(&format!("reload_failure_total {}\n", bad.len())));
-    assert!(w.reconfigure("whole", &whole), "the file that it started with is one to take over");
+    assert_eq!(
+        (harness.proxy.discovery.command_channel.address(), &harness.proxy.settings),
+        (channel, &settings)
+    );
+    assert!(!harness.events.all().iter().any(|e| matches!(e, Event::Settings(_))));
+    assert!(harness.call("stats\n").contains(&format!("reload_failure_total {}\n", invalid.len())));
+    assert!(harness.reconfigure("whole", &original), "the original configuration is still accepted");
 }
