--- a/tests/common/soak_play.rs
+++ b/tests/common/soak_play.rs
@@ -1,5 +1,5 @@
-//! One play of the soak: two real instances, servers and command channels that keep records, and troubles in a row. One
-//! seed decides all: deadlines, troubles and times. The judge reads the records alone.
+//! One run of the soak test: two instance processes, and recording servers and command channels, under a sequence of
+//! injected faults. One seed decides timeouts, faults and times. The checks read only the records.
 
 use fault_injection::Schedule;
 use larchdale_test_support::world::channels::EndpointState;
@@ -18,129 +18,131 @@
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
-/// How many plays run side by side.
-const ABREAST: usize = 3;
-/// A test plays so long before its first trouble, and after its last.
+/// Number of runs in parallel.
+const PARALLEL_RUNS: usize = 3;
+/// Time without faults before the first fault and after the last.
 const QUIET: Duration = Duration::from_millis(700);
 const INSTANCES: usize = 2;
-/// The protocol's figures.
-const LONGEST_COUNTED: u64 = 3_000;
-const KILL_AFTER: u64 = 700;
+/// Limits of the protocol: longest timeout that counts after SIGTERM, and time from its end until SIGKILL, in
+/// milliseconds.
+const LONGEST_COUNTED_TIMEOUT: u64 = 3_000;
+const KILL_DELAY: u64 = 700;
 const DRAIN_GRACE: u64 = S + 50 * MS;
-const LEFT_GRACE: u64 = 100 * MS;
-const LATE_SLACK: u64 = 500 * MS;
-const CROSSES: u64 = 50 * MS;
-/// Pauses of an instance: the shortest and the longest, in milliseconds.
+const CANCEL_GRACE: u64 = 100 * MS;
+const LATE_TOLERANCE: u64 = 500 * MS;
+const CLOSE_RACE: u64 = 50 * MS;
+/// Shortest and longest pause of an instance, in milliseconds.
 const PAUSE_MS: (f64, f64) = (200.0, 8_000.0);
-/// Stalls of this process, in milliseconds.
+/// Range of the stalls of this process, in milliseconds.
 const STALL_MS: std::ops::Range<u64> = 50..300;
-/// Makes the draws of pauses differ from those of the other troubles.
-const PAUSES: u64 = 0x7061_7573;
-/// When this process was stopped: all plays stood still then.
+/// Separates the random numbers of the pauses from those of the other faults.
+const PAUSE_SEED_MASK: u64 = 0x7061_7573;
+/// Times at which this process was stopped, and with it the servers and clients of all runs.
 static STALLS: Mutex<Vec<(Instant, Instant)>> = Mutex::new(Vec::new());
-/// New connections keep coming for so long after SIGTERM.
-const DIALS_FOR: Duration = Duration::from_millis(300);
+/// Time after SIGTERM in which clients still open new connections.
+const CONNECT_AFTER_TERM: Duration = Duration::from_millis(300);
 
-/// From when to when, in microseconds.
-type Span = (u64, u64);
+/// Start and end of an interval, in microseconds.
+type Interval = (u64, u64);
 
-/// What happens to the fleet, one after the other.
+/// A fault that is injected into the fleet.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// A box says nothing from now on.
-    Silence(usize),
-    /// A box dies, and is back, cold, a little later.
-    Death(usize),
-    /// A box takes many times as long.
+enum Fault {
+    /// An edge cache stops responding.
+    Unresponsive(usize),
+    /// An edge cache crashes and restarts with an empty cache after `QUIET`.
+    Crash(usize),
+    /// An edge cache takes the given multiple of its usual time.
     Slow(usize, f64),
-    /// A box is told to drain.
+    /// The command channels announce that an edge cache is draining.
     Drain(usize),
-    /// A new configuration, so many times in a row.
+    /// An instance's configuration is changed the given number of times in a row.
     Reload(usize, u32),
-    /// SIGTERM, so many times, SIGHUP with it or not; the kill at the earliest; a new process.
+    /// An instance gets SIGTERM `signals` times, each with SIGHUP where `reload` is set, then SIGKILL at the earliest
+    /// moment that the protocol allows, and a new process starts.
     Restart { instance: usize, signals: u32, reload: bool },
-    /// A second process takes over, and the first one is told to end.
+    /// A second process takes over from an instance's process, which then gets SIGTERM.
     Takeover(usize),
-    /// So many connections that say nothing.
-    Crowd(usize, usize),
-    /// An instance is stopped (SIGSTOP) for a while, and goes on (SIGCONT); its clients do not wait for that.
+    /// The given number of idle connections is opened to an instance.
+    IdleConnections(usize, usize),
+    /// An instance is stopped (SIGSTOP) and continued (SIGCONT) while its clients go on.
     Pause(usize, Duration),
-    /// This process, with all clients and servers, is stopped for a while; the instances go on.
+    /// This process, with all clients and servers, is stopped while the instances go on.
     Stall(Duration),
 }
 
-/// All that a seed decides.
+/// Everything that a seed decides.
 #[derive(Debug)]
-struct Script {
-    deadlines_ms: [u64; 3],
+struct Scenario {
+    timeouts_ms: [u64; 3],
     sockets: usize,
     rate: f64,
-    gives_up: f64,
-    troubles: Vec<(Duration, Trouble)>,
+    cancel_share: f64,
+    faults: Vec<(Duration, Fault)>,
 }
 
-impl Script {
-    /// The troubles of a seed, without pauses.
-    fn of(seed: u64) -> Script {
+impl Scenario {
+    /// Returns the scenario of a seed, without pauses and stalls.
+    fn from_seed(seed: u64) -> Scenario {
         let mut rng = Pcg32::seed_from_u64(seed);
         let rng = &mut rng;
-        let deadlines =
+        let timeouts =
             [[2, 10, 25], [50, 80, 120], [200, 300, 600], [900, 700, 1_200], [4_000, 2_500, 3_000]];
-        let crowd = rng.random_ratio(1, 3);
-        let troubles = (0..rng.random_range(2..5)).map(|_| {
-            let (which, instance) = (rng.random_range(0..3), rng.random_range(0..INSTANCES));
-            let trouble = match rng.random_range(0..if crowd { 9 } else { 8 }) {
-                0 => Trouble::Silence(which),
-                1 => Trouble::Death(which),
-                2 => Trouble::Slow(which, rng.random_range(3.0..40.0)),
-                3 => Trouble::Drain(which),
-                4 => Trouble::Reload(instance, rng.random_range(1..6)),
+        let has_idle_connections = rng.random_ratio(1, 3);
+        let faults = (0..rng.random_range(2..5)).map(|_| {
+            let (cache, instance) = (rng.random_range(0..3), rng.random_range(0..INSTANCES));
+            let fault = match rng.random_range(0..if has_idle_connections { 9 } else { 8 }) {
+                0 => Fault::Unresponsive(cache),
+                1 => Fault::Crash(cache),
+                2 => Fault::Slow(cache, rng.random_range(3.0..40.0)),
+                3 => Fault::Drain(cache),
+                4 => Fault::Reload(instance, rng.random_range(1..6)),
                 5 | 6 => {
                     let (signals, reload) = (rng.random_range(1..4), rng.random());
-                    Trouble::Restart { instance, signals, reload }
+                    Fault::Restart { instance, signals, reload }
                 }
-                7 => Trouble::Takeover(instance),
-                _ => Trouble::Crowd(instance, rng.random_range(30..120)),
+                7 => Fault::Takeover(instance),
+                _ => Fault::IdleConnections(instance, rng.random_range(30..120)),
             };
-            (Duration::from_millis(rng.random_range(0..700)), trouble)
+            (Duration::from_millis(rng.random_range(0..700)), fault)
         });
-        let troubles = troubles.collect();
-        Script {
-            deadlines_ms: deadlines[rng.random_range(0..deadlines.len())],
-            sockets: if crowd { 128 } else { 1024 },
+        let faults = faults.collect();
+        Scenario {
+            timeouts_ms: timeouts[rng.random_range(0..timeouts.len())],
+            sockets: if has_idle_connections { 128 } else { 1024 },
             rate: rng.random_range(20.0..60.0),
-            gives_up: if rng.random() { 0.1 } else { 0.0 },
-            troubles,
+            cancel_share: if rng.random() { 0.1 } else { 0.0 },
+            faults,
         }
     }
 
-    /// The same with pauses of instances and stalls of this process among the troubles.
-    fn with_pauses(seed: u64) -> Script {
-        let mut script = Script::of(seed);
-        let mut rng = Pcg32::seed_from_u64(seed ^ PAUSES);
+    /// Returns the scenario of a seed with pauses of instances and stalls of this process inserted among its faults.
+    fn with_pauses(seed: u64) -> Scenario {
+        let mut scenario = Scenario::from_seed(seed);
+        let mut rng = Pcg32::seed_from_u64(seed ^ PAUSE_SEED_MASK);
         let (shortest, longest) = PAUSE_MS;
         for _ in 0..rng.random_range(1..4) {
-            // Short and long ones are equally likely.
+            // Log-uniform, so that short and long pauses are equally likely.
             let millis = shortest * (longest / shortest).powf(rng.random());
-            let pause = Trouble::Pause(rng.random_range(0..INSTANCES), Duration::from_millis(millis as u64));
-            let stall = Trouble::Stall(Duration::from_millis(rng.random_range(STALL_MS)));
-            for trouble in [pause, stall] {
-                let wait = Duration::from_millis(rng.random_range(0..700));
-                let place = rng.random_range(0..=script.troubles.len());
-                script.troubles.insert(place, (wait, trouble));
+            let pause = Fault::Pause(rng.random_range(0..INSTANCES), Duration::from_millis(millis as u64));
+            let stall = Fault::Stall(Duration::from_millis(rng.random_range(STALL_MS)));
+            for fault in [pause, stall] {
+                let delay = Duration::from_millis(rng.random_range(0..700));
+                let index = rng.random_range(0..=scenario.faults.len());
+                scenario.faults.insert(index, (delay, fault));
             }
         }
-        script
+        scenario
     }
 
-    /// How long clients go on asking: until the last trouble is over, and a little more.
+    /// Time for which clients send requests: until the last fault is over, and some time after it.
     fn span(&self) -> Duration {
-        let lasts = |trouble: &Trouble| match trouble {
-            Trouble::Restart { .. } | Trouble::Takeover(_) | Trouble::Death(_) => self.kill_after() + QUIET,
-            Trouble::Pause(_, span) | Trouble::Stall(span) => *span,
+        let lasts = |fault: &Fault| match fault {
+            Fault::Restart { .. } | Fault::Takeover(_) | Fault::Crash(_) => self.kill_delay() + QUIET,
+            Fault::Pause(_, span) | Fault::Stall(span) => *span,
             _ => Duration::ZERO,
         };
-        3 * QUIET + self.troubles.iter().map(|(wait, trouble)| *wait + lasts(trouble)).sum::<Duration>()
+        3 * QUIET + self.faults.iter().map(|(delay, fault)| *delay + lasts(fault)).sum::<Duration>()
     }
 
     fn fleet(&self, seed: u64) -> Fleet {
@@ -152,15 +154,15 @@
             parents: (2, 16.0),
             ..Plan::default()
         };
-        for (class, deadline_ms) in plan.figures.classes.iter_mut().zip(self.deadlines_ms) {
-            class.patience_ms = deadline_ms;
+        for (class, timeout_ms) in plan.figures.classes.iter_mut().zip(self.timeouts_ms) {
+            class.patience_ms = timeout_ms;
         }
         let servers = plan.servers().unwrap();
         let addresses = servers.addresses.clone();
-        let way = |_: usize, server: usize| addresses[server];
+        let route = |_: usize, server: usize| addresses[server];
         let program = env!("CARGO_BIN_EXE_larchdale");
         let name = format!("soak-{seed}");
-        let mut fleet = Fleet::new(program, &name, plan, servers, &Schedule::default(), way).unwrap();
+        let mut fleet = Fleet::new(program, &name, plan, servers, &Schedule::default(), route).unwrap();
         for instance in 0..INSTANCES {
             fleet.instances.reconfigure(instance, |c| c["limits"]["sockets"] = self.sockets.into()).unwrap();
         }
@@ -169,45 +171,45 @@
         fleet
     }
 
-    /// How long after SIGTERM the kill may come at the earliest.
-    fn kill_after(&self) -> Duration {
-        let longest = self.deadlines_ms.into_iter().max().unwrap_or(0).min(LONGEST_COUNTED);
-        Duration::from_millis(longest + KILL_AFTER)
+    /// Earliest time of SIGKILL after SIGTERM.
+    fn kill_delay(&self) -> Duration {
+        let longest = self.timeouts_ms.into_iter().max().unwrap_or(0).min(LONGEST_COUNTED_TIMEOUT);
+        Duration::from_millis(longest + KILL_DELAY)
     }
 }
 
-/// One play: what was told when, and who holds what.
-struct Play {
+/// State of one run: the fleet, and records of the injected faults.
+struct SoakRun {
     fleet: Fleet,
-    script: Script,
-    dials: [Arc<AtomicBool>; INSTANCES],
-    /// By box: when it was told to drain.
+    scenario: Scenario,
+    may_connect: [Arc<AtomicBool>; INSTANCES],
+    /// Edge caches that were announced as draining, each with the time of that.
     drains: Vec<(usize, u64)>,
-    crowd: Vec<TcpStream>,
-    /// By instance: from when to when it was stopped.
+    idle_connections: Vec<TcpStream>,
+    /// Instances that were stopped, each with start and end of the pause.
     pauses: Vec<(usize, u64, u64)>,
 }
 
-impl Play {
-    fn trouble(&mut self, trouble: Trouble) {
-        let boxes = self.fleet.servers.of(1, Kind::Box);
-        match trouble {
-            Trouble::Silence(which) => self.fleet.servers.silence(boxes[which]),
-            Trouble::Slow(which, times) => self.fleet.servers.slow(boxes[which], times),
-            Trouble::Death(which) => {
-                self.fleet.servers.kill(boxes[which]);
+impl SoakRun {
+    fn inject(&mut self, fault: Fault) {
+        let caches = self.fleet.servers.of(1, Kind::Box);
+        match fault {
+            Fault::Unresponsive(cache) => self.fleet.servers.silence(caches[cache]),
+            Fault::Slow(cache, times) => self.fleet.servers.slow(caches[cache], times),
+            Fault::Crash(cache) => {
+                self.fleet.servers.kill(caches[cache]);
                 std::thread::sleep(QUIET);
-                self.fleet.servers.revive(boxes[which]).unwrap();
-                // Who drains is not told ready again: its drain would have an end that the judge does not know.
-                if !self.drains.iter().any(|d| d.0 == boxes[which]) {
-                    (0..INSTANCES).for_each(|d| self.fleet.tell(d, boxes[which], EndpointState::Ready));
+                self.fleet.servers.revive(caches[cache]).unwrap();
+                // A draining server isn't announced as ready again: the checks expect a drain to last until the end.
+                if !self.drains.iter().any(|d| d.0 == caches[cache]) {
+                    (0..INSTANCES).for_each(|d| self.fleet.tell(d, caches[cache], EndpointState::Ready));
                 }
             }
-            Trouble::Drain(which) => {
-                (0..INSTANCES).for_each(|d| self.fleet.tell(d, boxes[which], EndpointState::Draining));
-                self.drains.push((boxes[which], self.fleet.servers.now()));
+            Fault::Drain(cache) => {
+                (0..INSTANCES).for_each(|d| self.fleet.tell(d, caches[cache], EndpointState::Draining));
+                self.drains.push((caches[cache], self.fleet.servers.now()));
             }
-            Trouble::Reload(instance, times) => {
+            Fault::Reload(instance, times) => {
                 for n in 0..times {
                     let attempts = 3 + n % 4;
                     let change = |c: &mut serde_json::Value| {
@@ -216,20 +218,20 @@
                     self.fleet.instances.reconfigure(instance, change).unwrap();
                 }
             }
-            Trouble::Restart { instance, signals, reload } => self.restart(instance, signals, reload),
-            Trouble::Takeover(instance) => {
+            Fault::Restart { instance, signals, reload } => self.restart(instance, signals, reload),
+            Fault::Takeover(instance) => {
                 let Some(old) = self.fleet.instances.replace(instance).unwrap() else { return };
                 old.signal("-TERM").unwrap();
-                std::thread::sleep(self.script.kill_after());
+                std::thread::sleep(self.scenario.kill_delay());
             }
-            Trouble::Crowd(instance, many) => {
-                // New connections may be shut unread then: those that are open go on.
-                self.dials[instance].store(false, Ordering::SeqCst);
+            Fault::IdleConnections(instance, count) => {
+                // The instance may now close new connections unread; clients keep using their open ones.
+                self.may_connect[instance].store(false, Ordering::SeqCst);
                 let address = self.fleet.instances.listens(instance).unwrap();
-                self.crowd.extend((0..many).flat_map(|_| TcpStream::connect(address)));
+                self.idle_connections.extend((0..count).flat_map(|_| TcpStream::connect(address)));
             }
-            Trouble::Pause(instance, span) => self.pause(instance, span),
-            Trouble::Stall(span) => stall(span),
+            Fault::Pause(instance, span) => self.pause(instance, span),
+            Fault::Stall(span) => stall(span),
         }
     }
 
@@ -242,32 +244,32 @@
         self.pauses.push((instance, from, self.fleet.servers.now()));
     }
 
-    /// When this process was stopped, in any play.
-    fn stalls(&self) -> Vec<Span> {
+    /// Intervals in which this process was stopped, by any run.
+    fn stalls(&self) -> Vec<Interval> {
         let at =
             |moment: Instant| moment.saturating_duration_since(self.fleet.servers.began).as_micros() as u64;
         let stalls = STALLS.lock().unwrap_or_else(PoisonError::into_inner);
         stalls.iter().map(|&(began, ended)| (at(began), at(ended))).collect()
     }
 
-    /// How much of a span this process was stopped for.
+    /// Part of an interval in which this process was stopped, in microseconds.
     fn stalled(&self, from: u64, to: u64) -> u64 {
-        covered(self.stalls(), (from, to))
+        covered_time(self.stalls(), (from, to))
     }
 
-    /// How much of a span of a request either this process or the request's instance was stopped for.
+    /// Part of an interval in which this process or the given instance was stopped, in microseconds.
     fn stopped(&self, instance: usize, from: u64, to: u64) -> u64 {
         let pauses = self.pauses.iter().filter(|pause| pause.0 == instance);
         let paused = pauses.map(|&(_, began, ended)| (began, ended));
-        covered(paused.chain(self.stalls()).collect(), (from, to))
+        covered_time(paused.chain(self.stalls()).collect(), (from, to))
     }
 
-    /// Whether a request crossed the close of its connection: the client sees that when it looks, which it does not in a
-    /// stall.
-    fn crossed_close(&self, request: &Request) -> bool {
+    /// Whether a request was sent while the instance closed the connection. Stalls don't count: a stopped client notices
+    /// the close late.
+    fn raced_close(&self, request: &Request) -> bool {
         let is_unanswered = request.answers.is_empty();
         let ended = request.lost.filter(|_| is_unanswered);
-        ended.is_some_and(|at| at - request.sent - self.stalled(request.sent, at) <= CROSSES)
+        ended.is_some_and(|at| at - request.sent - self.stalled(request.sent, at) <= CLOSE_RACE)
     }
 
     fn restart(&mut self, instance: usize, signals: u32, reload: bool) {
@@ -279,31 +281,31 @@
                 process.signal("-HUP").unwrap();
             }
         }
-        std::thread::sleep(DIALS_FOR);
-        self.dials[instance].store(false, Ordering::SeqCst);
-        std::thread::sleep(self.script.kill_after().saturating_sub(began.elapsed()));
+        std::thread::sleep(CONNECT_AFTER_TERM);
+        self.may_connect[instance].store(false, Ordering::SeqCst);
+        std::thread::sleep(self.scenario.kill_delay().saturating_sub(began.elapsed()));
         self.fleet.instances.kill(instance);
-        self.crowd.clear();
+        self.idle_connections.clear();
         self.fleet.instances.start(instance).unwrap();
-        self.dials[instance].store(true, Ordering::SeqCst);
+        self.may_connect[instance].store(true, Ordering::SeqCst);
     }
 
-    /// Whether its client closed the connection before the instance, which was stopped, could have answered in time.
-    fn had_no_time(&self, request: &Request) -> bool {
+    /// Whether a request's client closed the connection before the instance, which was stopped for a while, could have
+    /// responded within the timeout.
+    fn closed_before_timeout(&self, request: &Request) -> bool {
         let is_unanswered = request.answers.is_empty();
         let closed = request.closed.filter(|_| is_unanswered);
         let ran = |at| at - request.sent - self.stopped(request.instance, request.sent, at);
-        closed.is_some_and(|at| ran(at) <= self.patience(&request.class) + LATE_SLACK)
+        closed.is_some_and(|at| ran(at) <= self.timeout(&request.class) + LATE_TOLERANCE)
     }
 
-    fn patience(&self, class: &str) -> u64 {
-        let of = self.fleet.plan.figures.classes.iter().find(|c| c.name == class);
-        of.map_or(0, |c| c.patience_ms * MS)
+    fn timeout(&self, class: &str) -> u64 {
+        let found = self.fleet.plan.figures.classes.iter().find(|c| c.name == class);
+        found.map_or(0, |c| c.patience_ms * MS)
     }
 
-    /// An attempt for nobody with all that could explain it: its request, what its instance logged of it, the pauses and
-    /// stalls.
-    fn explain_nobody(&self, requests: &[Request], attempt: Option<&&Arrival>) -> String {
+    /// Describes an attempt that was sent after its client had left: the request, its log lines, the pauses and stalls.
+    fn describe_abandoned(&self, requests: &[Request], attempt: Option<&&Arrival>) -> String {
         let Some(attempt) = attempt else { return String::new() };
         let request = requests.iter().find(|request| format!("{:016x}", request.trace) == attempt.id);
         let began = self.fleet.servers.began;
@@ -317,49 +319,62 @@
         format!("{attempt:?} of {request:?}; pauses {pauses:?}, stalls {stalls:?}, logged {logged:#?}")
     }
 
-    /// What the pages promise, by the records.
-    fn judge(&self, requests: &[Request]) -> Result<String, String> {
+    /// Checks the documented guarantees against the records: returns a summary, or the first guarantee that is broken.
+    fn check(&self, requests: &[Request]) -> Result<String, String> {
         let notes = self.fleet.servers.notes();
-        let own: Vec<&Arrival> = notes.arrivals.iter().filter(|a| a.from.is_none()).collect();
-        let none = |what: &str, many: usize, first: String| match many {
+        let attempts: Vec<&Arrival> = notes.arrivals.iter().filter(|a| a.from.is_none()).collect();
+        let expect_none = |what: &str, count: usize, first: String| match count {
             0 => Ok(()),
-            _ => Err(format!("{many} {what}, as {first}")),
+            _ => Err(format!("{count} {what}, the first: {first}")),
         };
         let mut unanswered = checker::unanswered(requests, &[]);
-        unanswered.retain(|request| !self.crossed_close(request) && !self.had_no_time(request));
-        none("without one answer", unanswered.len(), format!("{:?}", unanswered.first()))?;
-        let patience = |class: &str| self.patience(class);
+        unanswered.retain(|request| !self.raced_close(request) && !self.closed_before_timeout(request));
+        expect_none(
+            "requests without exactly one response",
+            unanswered.len(),
+            format!("{:?}", unanswered.first()),
+        )?;
+        let timeout = |class: &str| self.timeout(class);
         let is_late = |r: &&Request| {
-            let due = |at| r.sent + patience(&r.class) + LATE_SLACK + self.stopped(r.instance, r.sent, at);
+            let due = |at| r.sent + timeout(&r.class) + LATE_TOLERANCE + self.stopped(r.instance, r.sent, at);
             r.answers.iter().any(|answer| answer.at > due(answer.at))
         };
-        let late: Vec<_> = checker::late(requests, patience, LATE_SLACK).filter(is_late).collect();
-        none("answered late", late.len(), format!("{:?}", late.first()))?;
-        let twice = checker::twice(&notes.arrivals, &self.fleet.servers.specs, UNSAFE);
-        none("run twice", twice.len(), format!("{:?}", twice.first()))?;
-        let left: BTreeMap<u64, u64> = requests.iter().filter_map(|r| Some((r.trace, r.left?))).collect();
-        let mut nobody = checker::for_nobody(requests, &notes.arrivals, LEFT_GRACE);
-        nobody.retain(|a| {
-            let left = u64::from_str_radix(&a.id, 16).ok().and_then(|trace| left.get(&trace));
-            left.is_some_and(|&left| a.at > left + LEFT_GRACE + self.stalled(left, a.at))
+        let late: Vec<_> = checker::late(requests, timeout, LATE_TOLERANCE).filter(is_late).collect();
+        expect_none("requests with a late response", late.len(), format!("{:?}", late.first()))?;
+        let ran_twice = checker::twice(&notes.arrivals, &self.fleet.servers.specs, UNSAFE);
+        expect_none("requests that ran twice", ran_twice.len(), format!("{:?}", ran_twice.first()))?;
+        let canceled: BTreeMap<u64, u64> = requests.iter().filter_map(|r| Some((r.trace, r.left?))).collect();
+        let mut abandoned = checker::for_nobody(requests, &notes.arrivals, CANCEL_GRACE);
+        abandoned.retain(|a| {
+            let left_at = u64::from_str_radix(&a.id, 16).ok().and_then(|trace| canceled.get(&trace));
+            left_at.is_some_and(|&left| a.at > left + CANCEL_GRACE + self.stalled(left, a.at))
         });
-        none("sent for nobody", nobody.len(), self.explain_nobody(requests, nobody.first()))?;
-        let drained = |a: &&&Arrival| {
-            self.drains.iter().any(|&(s, told)| {
-                (a.server == s || a.via == Some(s)) && a.at > told + DRAIN_GRACE + self.stalled(told, a.at)
+        expect_none(
+            "attempts sent after the client left",
+            abandoned.len(),
+            self.describe_abandoned(requests, abandoned.first()),
+        )?;
+        let sent_to_draining = |a: &&&Arrival| {
+            self.drains.iter().any(|&(s, announced)| {
+                (a.server == s || a.via == Some(s))
+                    && a.at > announced + DRAIN_GRACE + self.stalled(announced, a.at)
             })
         };
-        let drained: Vec<_> = own.iter().filter(drained).collect();
-        none("sent to who drains", drained.len(), format!("{:?}", drained.first()))?;
-        none("fallen", notes.falls.len(), format!("{:?}", notes.falls.first()))?;
+        let drained: Vec<_> = attempts.iter().filter(sent_to_draining).collect();
+        expect_none("attempts sent to a draining server", drained.len(), format!("{:?}", drained.first()))?;
+        expect_none(
+            "servers that broke down from overload",
+            notes.falls.len(),
+            format!("{:?}", notes.falls.first()),
+        )?;
         let served = requests.iter().filter(|r| r.answers.iter().any(|a| a.code == 20)).count();
-        let verdict = if served == 0 { ", SERVES NOTHING" } else { "" };
-        Ok(format!("{} requests, {served} served, {} attempts{verdict}", requests.len(), own.len()))
+        let warning = if served == 0 { ", NO REQUEST SERVED" } else { "" };
+        Ok(format!("{} requests, {served} served, {} attempts{warning}", requests.len(), attempts.len()))
     }
 }
 
-/// How much of a span these cover together; they may overlap.
-fn covered(mut spans: Vec<Span>, (from, to): Span) -> u64 {
+/// Part of an interval that the given intervals, which may overlap, cover together.
+fn covered_time(mut spans: Vec<Interval>, (from, to): Interval) -> u64 {
     spans.sort_unstable();
     let (mut sum, mut counted_to) = (0, from);
     for (began, ended) in spans {
@@ -370,56 +385,58 @@
     sum
 }
 
-/// Stops this process for a while.
+/// Stops this process for the given time.
 fn stall(span: Duration) {
     let began = Instant::now();
     let (own, seconds) = (std::process::id(), span.as_secs_f64());
-    let stops = format!("kill -STOP {own}; sleep {seconds}; kill -CONT {own}");
-    assert!(Command::new("sh").args(["-c", &stops]).status().unwrap().success());
+    let command = format!("kill -STOP {own}; sleep {seconds}; kill -CONT {own}");
+    assert!(Command::new("sh").args(["-c", &command]).status().unwrap().success());
     STALLS.lock().unwrap_or_else(PoisonError::into_inner).push((began, Instant::now()));
 }
 
-fn play(seed: u64, script: Script) -> Result<String, String> {
-    let fleet = script.fleet(seed);
-    let dials: [Arc<AtomicBool>; INSTANCES] = std::array::from_fn(|_| Arc::new(AtomicBool::new(true)));
-    let habits = |d: usize| Habits { stays: true, gives_up: script.gives_up, dials: dials[d].clone() };
-    let span = script.span();
-    let clients = fleet.load_with(script.rate, seed, span, habits).unwrap();
-    let mut play = Play {
+fn run_seed(seed: u64, scenario: Scenario) -> Result<String, String> {
+    let fleet = scenario.fleet(seed);
+    let may_connect: [Arc<AtomicBool>; INSTANCES] = std::array::from_fn(|_| Arc::new(AtomicBool::new(true)));
+    let habits =
+        |d: usize| Habits { stays: true, gives_up: scenario.cancel_share, dials: may_connect[d].clone() };
+    let span = scenario.span();
+    let clients = fleet.load_with(scenario.rate, seed, span, habits).unwrap();
+    let mut run = SoakRun {
         fleet,
-        script,
-        dials: dials.clone(),
+        scenario,
+        may_connect: may_connect.clone(),
         drains: Vec::new(),
-        crowd: Vec::new(),
+        idle_connections: Vec::new(),
         pauses: Vec::new(),
     };
     std::thread::sleep(QUIET);
-    for (wait, trouble) in play.script.troubles.clone() {
-        std::thread::sleep(wait);
-        play.trouble(trouble);
+    for (delay, fault) in run.scenario.faults.clone() {
+        std::thread::sleep(delay);
+        run.inject(fault);
     }
     let requests = gather(clients);
-    play.judge(&requests).map_err(|why| format!("{why}\n    {:?}", play.script))
+    run.check(&requests).map_err(|error| format!("{error}\n    {:?}", run.scenario))
 }
 
-/// Plays seeds, as many as the environment says or `seeds`, with pauses among the troubles or without; gives how many
-/// those were and what failed of them.
+/// Runs the seeds, `SOAK_SEEDS` or else `seeds` of them from `SOAK_FROM` on, with or without pauses. Returns the number
+/// of seeds and a message for each that failed.
 pub fn failures(seeds: u64, has_pauses: bool) -> (u64, Vec<String>) {
-    let (first, many) = (number("SOAK_FROM", 1), number("SOAK_SEEDS", seeds));
-    let (next, failures) = (Mutex::new(first..first + many), Mutex::new(Vec::new()));
+    let (first, count) = (number("SOAK_FROM", 1), number("SOAK_SEEDS", seeds));
+    let (next, failures) = (Mutex::new(first..first + count), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..ABREAST {
+        for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| loop {
                 let Some(seed) = next.lock().unwrap().next() else { return };
-                let script = if has_pauses { Script::with_pauses(seed) } else { Script::of(seed) };
-                match play(seed, script) {
-                    Ok(told) => println!("seed {seed}: {told}"),
-                    Err(why) => failures.lock().unwrap().push(format!("seed {seed}: {why}")),
+                let scenario =
+                    if has_pauses { Scenario::with_pauses(seed) } else { Scenario::from_seed(seed) };
+                match run_seed(seed, scenario) {
+                    Ok(summary) => println!("seed {seed}: {summary}"),
+                    Err(error) => failures.lock().unwrap().push(format!("seed {seed}: {error}")),
                 }
             });
         }
     });
-    (many, failures.into_inner().unwrap())
+    (count, failures.into_inner().unwrap())
 }
 
 fn number(name: &str, default: u64) -> u64 {
