--- a/tests/discovery_down.rs
+++ b/tests/discovery_down.rs
@@ -1,6 +1,6 @@
-//! The program while discovery is down: idle clients that take every descriptor, and starts under load. Every wait ends
-//! with what is awaited; `HANG` is far longer than any of it takes. Nothing leaves loopback: each test has an address
-//! there of its own, so that a port which is closed stays closed until the test opens it.
+//! The instance process while discovery is down: idle clients that use up the descriptors, and starts under load. Each
+//! wait ends with its condition; `HANG` is far longer than any of them takes. All traffic stays on loopback: each test
+//! has an address of its own there, so that a closed port stays closed until the test opens it.
 #![cfg(unix)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 const HANG: Duration = Duration::from_secs(60);
-/// The front wants a restarted instance within this.
+/// Time within which a restarted instance must report that it is ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-const PACE: Duration = Duration::from_millis(5);
-/// The last event in the configuration.
-const KNOWN: u64 = 1;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of the last endpoint update in the configuration.
+const KNOWN_UPDATE: u64 = 1;
 
-/// A loopback address of this test's own.
+/// Returns a loopback address for one test of this process.
 fn own_address(test: u8) -> String {
     let pid = std::process::id();
     format!("127.{}.{}.{}", 64 + test, pid >> 8 & 127, (pid & 255).clamp(1, 254))
@@ -41,25 +41,26 @@
     }
 }
 
-/// The example's configuration, in which all endpoints refuse and so does discovery, unless the test listens there.
-fn config(listen: &str, at: &str, sockets: usize) -> String {
+/// Returns the example configuration, changed so that all endpoints refuse connections and discovery does so unless the
+/// test listens at `{address}:9379`.
+fn config(listen: &str, address: &str, sockets: usize) -> String {
     let text = include_str!("../examples/config.json");
     let mut config: serde_json::Value = serde_json::from_str(text).unwrap();
     config["listen"] = listen.into();
-    config["channel"] = format!("{at}:9379").into();
+    config["channel"] = format!("{address}:9379").into();
     config["limits"]["sockets"] = sockets.into();
     for endpoint in config["known"]["cmds"][0]["nodes"]["instances"].as_array_mut().unwrap() {
-        endpoint["hostPort"] = format!("{at}:1").into();
+        endpoint["hostPort"] = format!("{address}:1").into();
     }
     config.to_string()
 }
 
 impl Program {
-    fn start(name: &str, shell: &str, config: &str) -> Program {
+    fn start(name: &str, shell_prefix: &str, config: &str) -> Program {
         let path = std::env::temp_dir().join(format!("larchdale-{}-{name}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &format!("{shell} exec \"$0\""), env!("CARGO_BIN_EXE_larchdale")])
+            .args(["-c", &format!("{shell_prefix} exec \"$0\""), env!("CARGO_BIN_EXE_larchdale")])
             .env("PROXY_CONFIG", &path)
             .stderr(Stdio::piped())
             .spawn()
@@ -68,7 +69,7 @@
         let (mut line, mut listen) = (String::new(), None);
         while listen.is_none() {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended before it listened");
             let after = line.split_once("address: ").filter(|_| line.contains("listening"));
             listen = after.and_then(|p| p.1.split([',', '\n']).next()).map(str::to_owned);
         }
@@ -84,7 +85,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Ends it; all that it logged after its first line.
+    /// Sends SIGTERM, waits for the process and returns the unread rest of its log.
     fn end(mut self) -> String {
         self.signal("-TERM");
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
@@ -102,7 +103,7 @@
     out
 }
 
-/// A client's connection.
+/// A client with one connection to the instance.
 struct Client(TcpStream);
 
 impl Client {
@@ -112,8 +113,8 @@
         Ok(Client(stream))
     }
 
-    /// Type and code of the next answer.
-    fn answer(&mut self) -> std::io::Result<(u8, u8)> {
+    /// Reads the next frame; returns its type and its first payload byte, the status code of a response.
+    fn read_frame(&mut self) -> std::io::Result<(u8, u8)> {
         let mut head = [0; 9];
         self.0.read_exact(&mut head)?;
         let length = u32::from_be_bytes(head[..4].try_into().unwrap()) as usize;
@@ -124,11 +125,11 @@
 
     fn is_ready(&mut self) -> std::io::Result<bool> {
         self.0.write_all(&frame(1, 9, &[0]))?;
-        Ok(self.answer()? == (2, 20))
+        Ok(self.read_frame()? == (2, 20))
     }
 
-    /// Asks for a part; the code of the answer.
-    fn asks(&mut self, number: u32) -> std::io::Result<u8> {
+    /// Requests a chunk and returns the status code of the response.
+    fn request(&mut self, number: u32) -> std::io::Result<u8> {
         let trace = format!("{:08x}{number:08x}", std::process::id());
         let fields = [
             ("route", "images"),
@@ -148,7 +149,7 @@
         }
         self.0.write_all(&frame(7, number, &payload))?;
         loop {
-            let (kind, code) = self.answer()?;
+            let (kind, code) = self.read_frame()?;
             if kind == 8 {
                 return Ok(code);
             }
@@ -156,34 +157,34 @@
     }
 }
 
-/// The words of the next command that an endpoint is sent.
-fn command(from: &mut impl BufRead) -> Option<Vec<String>> {
+/// Reads the next command, which an instance sends to an endpoint, as its words.
+fn read_command(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
-    let mut number = |from: &mut dyn BufRead| {
+    let mut read_number = |reader: &mut dyn BufRead| {
         line.clear();
-        from.read_line(&mut line).ok()?;
+        reader.read_line(&mut line).ok()?;
         line.trim_end().get(1..)?.parse::<usize>().ok()
     };
-    let count = number(from)?;
+    let count = read_number(reader)?;
     let mut words = Vec::new();
     for _ in 0..count {
-        let mut word = vec![0; number(from)? + 2];
-        from.read_exact(&mut word).ok()?;
+        let mut word = vec![0; read_number(reader)? + 2];
+        reader.read_exact(&mut word).ok()?;
         words.push(String::from_utf8(word[..word.len() - 2].to_vec()).ok()?);
     }
     Some(words)
 }
 
-/// An endpoint that serves whatever is asked; where it listens.
-fn endpoint() -> String {
+/// Starts an endpoint that serves every request and returns its address.
+fn start_endpoint() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut out = stream.try_clone().unwrap();
-                let mut from = BufReader::new(stream);
-                while let Some(words) = command(&mut from) {
+                let mut reader = BufReader::new(stream);
+                while let Some(words) = read_command(&mut reader) {
                     if words[0] == "want" {
                         let minted = std::time::UNIX_EPOCH.elapsed().unwrap().as_millis();
                         let fields = format!("tag=4be0c1927d55a6f3,minted={minted},note=hit");
@@ -198,13 +199,13 @@
     address
 }
 
-/// Discovery comes up: whoever has not heard of event 2 is told of a whole list, a new box and a new origin. Gives the
-/// cursors that come in.
-fn discovery(listener: TcpListener) -> Receiver<u64> {
-    let (told, cursors) = channel();
+/// Starts a command channel that sends a complete endpoint list, an edge cache and an origin, as update 2 to each
+/// instance that doesn't have this update yet. The receiver yields the cursors that instances send.
+fn start_discovery(listener: TcpListener) -> Receiver<u64> {
+    let (sender, cursors) = channel();
     let mut list = Vec::new();
     for (id, kind, zone) in [(0x101u32, 0, 1), (0x102, 2, 0)] {
-        let port: u16 = endpoint().rsplit_once(':').unwrap().1.parse().unwrap();
+        let port: u16 = start_endpoint().rsplit_once(':').unwrap().1.parse().unwrap();
         list.extend(id.to_be_bytes());
         list.extend([127, 0, 0, 1]);
         list.extend(port.to_be_bytes());
@@ -212,23 +213,23 @@
         list.extend(20_000u32.to_be_bytes());
         list.extend([0; 8]);
     }
-    let mut event = (list.len() as u32 + 9).to_be_bytes().to_vec();
-    event.extend((KNOWN + 1).to_be_bytes());
-    event.push(1);
-    event.extend(list);
+    let mut update = (list.len() as u32 + 9).to_be_bytes().to_vec();
+    update.extend((KNOWN_UPDATE + 1).to_be_bytes());
+    update.push(1);
+    update.extend(list);
     thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut connections = Vec::new();
         for mut stream in listener.incoming().flatten() {
             let mut cursor = [0; 8];
             if stream.read_exact(&mut cursor).is_err() {
                 continue;
             }
             let cursor = u64::from_be_bytes(cursor);
-            if cursor <= KNOWN {
-                let _ = stream.write_all(&event);
+            if cursor <= KNOWN_UPDATE {
+                let _ = stream.write_all(&update);
             }
-            held.push(stream);
-            if told.send(cursor).is_err() {
+            connections.push(stream);
+            if sender.send(cursor).is_err() {
                 return;
             }
         }
@@ -236,27 +237,30 @@
     cursors
 }
 
-/// Asks until an endpoint of the new list has answered; `between` comes before each try.
-fn served(listen: &str, mut between: impl FnMut()) -> bool {
+/// Sends requests until an endpoint of the new list serves one; returns whether that happened before `HANG`. Calls
+/// `before_each` before each request.
+fn is_eventually_served(listen: &str, mut before_each: impl FnMut()) -> bool {
     let began = Instant::now();
     (1..).take_while(|_| began.elapsed() < HANG).any(|number| {
-        between();
+        before_each();
         let mut client = Client::connect(listen).unwrap();
-        assert!(client.is_ready().unwrap(), "the health answer");
-        let code = client.asks(number).unwrap();
-        thread::sleep(PACE);
+        assert!(client.is_ready().unwrap(), "not ready");
+        let code = client.request(number).unwrap();
+        thread::sleep(POLL_INTERVAL);
         code == 20
     })
 }
 
-/// Idle clients that have all asked something take what there is for clients, and more keep coming, while discovery
-/// refuses or says nothing. Then it is back: it is dialed, its list taken, the endpoint in it dialed, a new client served,
-/// and a SIGHUP's file read.
+/// Guards against idle clients that use up the descriptors which the instance needs for other connections. Clients
+/// that have each sent a health check take all client descriptors, and more keep connecting, while discovery refuses
+/// connections or sends nothing. Once discovery is back, the instance must connect to it, apply its list, connect to
+/// the listed endpoint, serve a new client and read its configuration on SIGHUP.
 ///
-/// Fails on the program before where `limits.sockets` is above what the process may open: it ran out ("accept failed").
-/// With no descriptors in reserve (`RESERVED` 0) it fails at the smallest limit; at 64, the endpoints' unused share hides it.
+/// An earlier version ran out of descriptors ("accept failed") where `limits.sockets` was above the process's limit.
+/// With `RESERVED` set to 0 the test fails at the smallest limit only: at 64 the unused share of the endpoints hides
+/// the fault.
 #[test]
-fn idle_clients_never_take_the_descriptors_of_discovery_endpoints_and_new_clients() {
+fn idle_clients_leave_descriptors_for_discovery_endpoints_and_new_clients() {
     for (n, (descriptors, sockets, silent)) in [
         (64, 64, false),
         (64, 64, true),
@@ -268,91 +272,96 @@
     .into_iter()
     .enumerate()
     {
-        let what = format!("{descriptors} {sockets} {silent}");
-        let at = own_address(n as u8);
-        let quiet = silent.then(|| TcpListener::bind(format!("{at}:9379")).unwrap());
-        let settings = config("127.0.0.1:0", &at, sockets);
+        let case = format!("{descriptors} {sockets} {silent}");
+        let address = own_address(n as u8);
+        let silent_listener = silent.then(|| TcpListener::bind(format!("{address}:9379")).unwrap());
+        let settings = config("127.0.0.1:0", &address, sockets);
         let program = Program::start(&format!("flood-{n}"), &format!("ulimit -n {descriptors};"), &settings);
-        let (mut held, listen) = (Vec::new(), program.listen.clone());
-        let mut more = |count: usize| {
+        let (mut idle_clients, listen) = (Vec::new(), program.listen.clone());
+        let mut add_idle_clients = |count: usize| {
             for _ in 0..count {
                 let mut client = Client::connect(&listen).unwrap();
-                assert!(client.is_ready().unwrap(), "{what}");
-                held.push(client);
+                assert!(client.is_ready().unwrap(), "{case}");
+                idle_clients.push(client);
             }
         };
-        more(3 * descriptors);
+        add_idle_clients(3 * descriptors);
         let open = program.descriptors();
-        assert!(open + 3 <= descriptors, "{what}: {open} are open");
-        // The file is read with all clients' descriptors taken.
+        assert!(open + 3 <= descriptors, "{case}: {open} are open");
+        // The configuration is reloaded while all descriptors for clients are in use.
         std::fs::write(&program.path, &settings).unwrap();
         program.signal("-HUP");
-        let up = quiet.unwrap_or_else(|| TcpListener::bind(format!("{at}:9379")).unwrap());
-        let cursors = discovery(up);
-        assert_eq!(cursors.recv_timeout(HANG), Ok(KNOWN), "{what}");
-        assert!(served(&program.listen, || more(2)), "{what}");
-        // Those that went were the oldest, and some are still there.
-        let ended = held.iter_mut().map(|c| {
+        let listener =
+            silent_listener.unwrap_or_else(|| TcpListener::bind(format!("{address}:9379")).unwrap());
+        let cursors = start_discovery(listener);
+        assert_eq!(cursors.recv_timeout(HANG), Ok(KNOWN_UPDATE), "{case}");
+        assert!(is_eventually_served(&program.listen, || add_idle_clients(2)), "{case}");
+        // The instance closed the connections of the oldest clients and kept the others.
+        let closed = idle_clients.iter_mut().map(|c| {
             c.0.set_nonblocking(true).unwrap();
             matches!(c.0.read(&mut [0; 64]), Ok(0))
         });
-        let ended: Vec<bool> = ended.collect();
-        let first = ended.iter().position(|e| !e).unwrap_or(ended.len());
-        assert!(ended[first..].iter().all(|e| !e), "{what}: the oldest first: {ended:?}");
-        assert!(first >= 2 * descriptors, "{what}: {first}");
+        let closed: Vec<bool> = closed.collect();
+        let first_open = closed.iter().position(|e| !e).unwrap_or(closed.len());
+        assert!(closed[first_open..].iter().all(|e| !e), "{case}: the oldest first: {closed:?}");
+        assert!(first_open >= 2 * descriptors, "{case}: {first_open}");
         let log = program.end();
         assert!(
             !log.contains("accept failed") && !log.contains("command channel dial failed"),
-            "{what}: {log}"
+            "{case}: {log}"
         );
-        assert!(log.contains("configuration reloaded"), "{what}: {log}");
-        assert!(!log.contains("no descriptor was free"), "{what}: {log}");
+        assert!(log.contains("configuration reloaded"), "{case}: {log}");
+        assert!(!log.contains("no descriptor was free"), "{case}: {log}");
     }
 }
 
-/// Guards the front, which takes an instance in once it has said that it is ready: that must rest on the configuration
-/// alone. Ten starts each with discovery refusing, silent, and late, while clients come from the first moment.
-/// Planted fault: ready only once a watch has told something (`is_current`); then none of the first ten is.
+/// Guards against an instance that becomes ready only once discovery responds: readiness, for which the health check
+/// waits, must depend on the configuration alone. Starts ten times each with discovery refusing connections, silent and
+/// late, while clients connect from the first moment. With readiness tied to a watch event (`is_current`), none of the
+/// first ten starts is ready.
 #[test]
-fn restarted_under_load_it_is_ready_whatever_discovery_does() {
-    for (n, what) in ["refused", "silent", "late"].into_iter().enumerate() {
+fn an_instance_restarted_under_load_is_ready_whatever_the_state_of_discovery() {
+    for (n, discovery_state) in ["refused", "silent", "late"].into_iter().enumerate() {
         let mut ready = 0;
         for round in 0..10 {
-            let at = own_address(32 + 10 * n as u8 + round);
-            let quiet = (what != "refused").then(|| TcpListener::bind(format!("{at}:9379")).unwrap());
-            let listen = format!("{at}:9090");
-            let over = Arc::new(AtomicBool::new(false));
+            let address = own_address(32 + 10 * n as u8 + round);
+            let silent_listener =
+                (discovery_state != "refused").then(|| TcpListener::bind(format!("{address}:9379")).unwrap());
+            let listen = format!("{address}:9090");
+            let stop = Arc::new(AtomicBool::new(false));
             let clients: Vec<_> = (0..4)
                 .map(|client| {
-                    let (listen, over) = (listen.clone(), over.clone());
+                    let (listen, stop) = (listen.clone(), stop.clone());
                     thread::spawn(move || {
                         for number in 1..100_000 {
-                            if over.load(Ordering::Relaxed) {
+                            if stop.load(Ordering::Relaxed) {
                                 return;
                             }
-                            let Ok(mut c) = Client::connect(&listen) else {
-                                thread::sleep(PACE);
+                            let Ok(mut connection) = Client::connect(&listen) else {
+                                thread::sleep(POLL_INTERVAL);
                                 continue;
                             };
-                            let _ = c.is_ready().and_then(|_| c.asks(client << 20 | number));
+                            let _ =
+                                connection.is_ready().and_then(|_| connection.request(client << 20 | number));
                         }
                     })
                 })
                 .collect();
             let began = Instant::now();
-            let program = Program::start(&format!("{what}-{round}"), "", &config(&listen, &at, 1024));
+            let program =
+                Program::start(&format!("{discovery_state}-{round}"), "", &config(&listen, &address, 1024));
             let mut client = Client::connect(&listen).unwrap();
             let is_ready = client.is_ready().unwrap();
             ready += usize::from(is_ready && began.elapsed() < READY_WITHIN);
-            if what == "late" {
-                let cursors = discovery(quiet.unwrap());
-                assert_eq!(cursors.recv_timeout(HANG), Ok(KNOWN));
-                assert!(served(&listen, || ()), "the list that came late is taken");
+            if discovery_state == "late" {
+                let cursors = start_discovery(silent_listener.unwrap());
+                assert_eq!(cursors.recv_timeout(HANG), Ok(KNOWN_UPDATE));
+                assert!(is_eventually_served(&listen, || ()), "the late endpoint list is applied");
             }
-            over.store(true, Ordering::Relaxed);
+            stop.store(true, Ordering::Relaxed);
             drop(program);
             clients.into_iter().for_each(|c| c.join().unwrap());
         }
-        assert!(ready == 10, "{what}: {ready} of 10");
+        assert!(ready == 10, "{discovery_state}: {ready} of 10");
     }
 }
--- a/tests/purge_log.rs
+++ b/tests/purge_log.rs
@@ -33,7 +33,8 @@
 }
 
 impl World {
-    /// Starts all instances, with the purge log configured where `follows` says so, and waits until those have caught up.
+    /// Starts all instances, with the purge log configured where `follows` says so, and waits until those have caught
+    /// up.
     fn new(name: &str, follows: impl Fn(usize) -> bool) -> World {
         let plan = Plan::default();
         let (servers, registry) = (plan.servers().unwrap(), Registry::start(MEMBERS).unwrap());
