--- a/tests/registry_chaos.rs
+++ b/tests/registry_chaos.rs
@@ -1,4 +1,4 @@
-//! Sessions against a registry in virtual time, with faults drawn from seeds. `CHAOS_SEED=n` plays one again.
+//! Registry sessions in virtual time with random faults from seeds. `CHAOS_SEED=n` runs one seed only.
 
 use larchdale_test_support::registry::chaos::{run, Outcome, Plan};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,9 +6,9 @@
 const SEEDS: u64 = 240;
 
 #[test]
-fn under_drawn_faults_no_closed_box_gets_work_late_and_all_lists_end_up_current() {
+fn under_random_faults_no_closed_endpoint_is_used_too_long_and_all_lists_become_current() {
     if let Some(seed) = std::env::var("CHAOS_SEED").ok().and_then(|s| s.parse().ok()) {
-        return drop(play(seed));
+        return drop(run_seed(seed));
     }
     let next = AtomicU64::new(0);
     let (lists, recoveries, faults) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
@@ -19,19 +19,22 @@
                 if seed >= SEEDS {
                     return;
                 }
-                let outcome = play(seed);
+                let outcome = run_seed(seed);
                 lists.fetch_add(outcome.lists, Ordering::Relaxed);
                 recoveries.fetch_add(outcome.recoveries, Ordering::Relaxed);
                 faults.fetch_add(outcome.faults, Ordering::Relaxed);
             });
         }
     });
-    let seen = [lists, recoveries, faults].map(AtomicU64::into_inner);
-    assert!(seen[0] > 10 * SEEDS && seen[1] > SEEDS && seen[2] > 5 * SEEDS, "too calm a test: {seen:?}");
+    let totals = [lists, recoveries, faults].map(AtomicU64::into_inner);
+    assert!(
+        totals[0] > 10 * SEEDS && totals[1] > SEEDS && totals[2] > 5 * SEEDS,
+        "too few lists, recoveries or faults: {totals:?}"
+    );
 }
 
-fn play(seed: u64) -> Outcome {
+fn run_seed(seed: u64) -> Outcome {
     let outcome = run(&Plan { seed, sessions: 3, endpoints: 20, span: 12_000_000, away: None });
-    assert!(outcome.broken.is_empty(), "CHAOS_SEED={seed} replays this:\n{}", outcome.broken.join("\n"));
+    assert!(outcome.broken.is_empty(), "CHAOS_SEED={seed} reproduces this:\n{}", outcome.broken.join("\n"));
     outcome
 }
--- a/tests/shards_fleet.rs
+++ b/tests/shards_fleet.rs
@@ -23,7 +23,7 @@
 /// microseconds.
 const IN_FLIGHT_GRACE: u64 = 1_500_000;
 /// Time after a late response in which a home may admit fewer requests, in microseconds.
-const REDUCED_LOAD_AFTER_LATE: u64 = 5_000_000;
+const LATE_COOLDOWN: u64 = 5_000_000;
 /// Start and end of a quiet window, in seconds since the start of the fleet.
 type Window = (f64, f64);
 
@@ -288,7 +288,7 @@
         // The latency objective of the class and its stretch, as in the instances' settings.
         let due = |m: &FirstArrival| m.sent + 400_000 + (2.0 * m.work) as u64;
         let late = |m: &&FirstArrival| {
-            due(m) < sent && end(m) > due(m) && end(m).saturating_add(REDUCED_LOAD_AFTER_LATE) >= sent
+            due(m) < sent && end(m) > due(m) && end(m).saturating_add(LATE_COOLDOWN) >= sent
         };
         (in_flight as f64) < plan.boxes.1 / plan.instances as f64 && !at_home.iter().any(|m| late(&m))
     }
