--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,27 +1,27 @@
-//! Five real instances over a relay that loses, delays and cuts off what they tell each other.
+//! Five instance processes whose gossip passes a relay that drops, delays and partitions datagrams.
 #![cfg(unix)]
 
 use fault_injection::{Rule, Schedule};
 use larchdale_test_support::processes::{until, Line, Process, Processes};
 use std::time::{Duration, Instant};
 
-const MANY: usize = 5;
+const INSTANCES: usize = 5;
 
 fn fleet(name: &str, schedule: &Schedule) -> Processes {
     let program = env!("CARGO_BIN_EXE_larchdale");
-    let mut fleet = Processes::new(program, name, MANY, schedule, |_, _| {}).unwrap();
+    let mut fleet = Processes::new(program, name, INSTANCES, schedule, |_, _| {}).unwrap();
     fleet.start_all().unwrap();
-    // Each begins by taking all others to be there: what counts is that it has heard of them.
-    let heard = |p: &Process, n: usize| p.logged("peer alive").iter().any(|l| l.fields["member"] == n);
-    let all = |(me, p): (usize, &Process)| (0..MANY).all(|n| n == me || heard(p, n));
-    let running = || fleet.running.iter().flatten().enumerate().all(all).then_some(());
-    until(Duration::from_secs(20), running).expect("all have heard of all");
-    fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("all see all");
+    // Each instance starts with all others counted as alive, so the test waits for gossip from each of them.
+    let has_heard = |p: &Process, n: usize| p.logged("peer alive").iter().any(|l| l.fields["member"] == n);
+    let has_heard_all = |(me, p): (usize, &Process)| (0..INSTANCES).all(|n| n == me || has_heard(p, n));
+    let all_heard = || fleet.running.iter().flatten().enumerate().all(has_heard_all).then_some(());
+    until(Duration::from_secs(20), all_heard).expect("all instances have heard from each other");
+    fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("all instances see each other");
     fleet
 }
 
-/// When each that runs first held a member to be in a state, after a moment.
-fn held(fleet: &Processes, member: usize, state: &str, since: Instant) -> Vec<Duration> {
+/// Returns for each running instance, if it has logged a state of a member since a time, the delay until it first did.
+fn delays_until_state(fleet: &Processes, member: usize, state: &str, since: Instant) -> Vec<Duration> {
     let first = |p: &Process| {
         let lines = p.logged("peer not alive");
         let of = |f: &serde_json::Value| f["member"] == member && f["state"] == state;
@@ -31,35 +31,36 @@
 }
 
 #[test]
-fn a_killed_process_is_dead_to_all_others_within_3_s_and_is_seen_again_when_it_is_back() {
+fn a_killed_process_is_declared_dead_within_3_s_and_is_alive_again_after_its_restart() {
     let mut fleet = fleet(
         "killed",
         &Schedule { seed: 1, rules: vec![Rule { delay_ms: [1.0, 10.0], ..Rule::default() }] },
     );
-    let mut spans = Vec::new();
+    let mut delays = Vec::new();
     for member in [4, 2, 0] {
         let since = Instant::now();
         fleet.kill(member);
         let all = until(Duration::from_secs(20), || {
-            Some(held(&fleet, member, "Dead", since)).filter(|h| h.len() == MANY - 1)
+            Some(delays_until_state(&fleet, member, "Dead", since))
+                .filter(|delays| delays.len() == INSTANCES - 1)
         });
-        spans.extend(all.expect("all others see it"));
+        delays.extend(all.expect("all others declare the member dead"));
         fleet.start(member).unwrap();
-        fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("it is seen again");
+        fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("the restarted member is alive to all");
     }
-    spans.sort_unstable();
-    assert!(spans[spans.len() / 2] <= Duration::from_secs(3), "{spans:?}");
+    delays.sort_unstable();
+    assert!(delays[delays.len() / 2] <= Duration::from_secs(3), "{delays:?}");
 }
 
 #[test]
-fn with_a_tenth_of_all_datagrams_lost_no_live_process_is_dead_to_anybody_in_60_s() {
+fn with_10_percent_datagram_loss_no_live_process_is_declared_dead_in_60_s() {
     let fleet = fleet(
         "loss",
         &Schedule { seed: 2, rules: vec![Rule { delay_ms: [1.0, 10.0], ..Rule::loss(0.1, 0, 0) }] },
     );
     std::thread::sleep(Duration::from_secs(60));
-    let lost = fleet.relay.counters().dropped.load(std::sync::atomic::Ordering::Relaxed);
-    assert!(lost > 50, "{lost} lost");
+    let dropped = fleet.relay.counters().dropped.load(std::sync::atomic::Ordering::Relaxed);
+    assert!(dropped > 50, "{dropped} dropped");
     for process in fleet.running.iter().flatten() {
         let dead = process.logged("peer not alive").into_iter().filter(|l| l.fields["state"] == "Dead");
         assert_eq!(dead.count(), 0);
@@ -67,7 +68,7 @@
     assert_eq!(
         fleet.relay.counters().long.load(std::sync::atomic::Ordering::Relaxed),
         0,
-        "none is over 256 bytes"
+        "datagrams over 256 bytes"
     );
 }
 
@@ -76,28 +77,29 @@
     let fleet = fleet("cut", &Schedule::default());
     fleet.relay.follow(&Schedule { seed: 3, rules: vec![Rule::partition(&[0, 1], &[2, 3, 4], 0, 0)] });
     let since = Instant::now();
-    let halves = || fleet.views().ok().filter(|v| v.iter().map(|v| v[2]).eq([3, 3, 2, 2, 2]));
-    until(Duration::from_secs(10), halves).expect("each half holds the other to be dead");
+    let is_split = || fleet.views().ok().filter(|v| v.iter().map(|v| v[2]).eq([3, 3, 2, 2, 2]));
+    until(Duration::from_secs(10), is_split).expect("each side declares the other dead");
     std::thread::sleep(Duration::from_secs(10).saturating_sub(since.elapsed()));
     fleet.relay.follow(&Schedule::default());
-    let healed = fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("they agree again");
+    let healed = fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("all views agree again");
     assert!(healed <= Duration::from_secs(5), "{healed:?}");
 }
 
 #[test]
-fn who_ends_says_so_and_what_comes_from_elsewhere_or_can_not_be_read_changes_nothing() {
+fn an_ending_process_announces_that_it_leaves_and_foreign_or_invalid_datagrams_are_dropped() {
     let mut fleet = fleet("leaves", &Schedule::default());
-    let (socket, to) = fleet.stranger(0).unwrap();
+    let (socket, address) = fleet.stranger(0).unwrap();
     for bytes in [&[1, 2, 3][..], &[0; 256], &[1; 600]] {
-        socket.send_to(bytes, to).unwrap();
+        socket.send_to(bytes, address).unwrap();
     }
     let dropped = |fleet: &Processes| {
         fleet.running[0].as_ref()?.figures().ok()?.get("peer_datagrams_dropped_total").copied()
     };
-    until(Duration::from_secs(20), || dropped(&fleet).filter(|&d| d >= 3)).expect("they are counted");
+    until(Duration::from_secs(20), || dropped(&fleet).filter(|&d| d >= 3))
+        .expect("the datagrams are counted as dropped");
     let mut leaver = fleet.running[3].take().unwrap();
     leaver.signal("-TERM").unwrap();
-    fleet.see([4, 0, 0, 1], Duration::from_secs(20)).expect("all see that it left");
+    fleet.see([4, 0, 0, 1], Duration::from_secs(20)).expect("all see that the member left");
     leaver.wait().unwrap();
     assert!(fleet.running.iter().flatten().all(|p| {
         p.logged("peer not alive").iter().all(|l| l.fields["member"] != 3 || l.fields["state"] == "Left")
@@ -105,18 +107,19 @@
 }
 
 #[test]
-fn who_is_replaced_by_another_process_is_neither_gone_nor_dead() {
+fn a_member_whose_process_is_replaced_by_a_takeover_is_declared_neither_left_nor_dead() {
     let mut fleet = fleet("replaced", &Schedule::default());
     let mut old = fleet.replace(0).unwrap().unwrap();
     let replaced = || (!old.logged("phase").iter().all(|l| l.fields["is"] != "Replaced")).then_some(());
-    until(Duration::from_secs(20), replaced).expect("the first hands over");
+    until(Duration::from_secs(20), replaced).expect("the first process hands over");
     old.signal("-TERM").unwrap();
     old.wait().unwrap();
-    // Its first life, and then the one of the second process.
-    let lives = |p: &Process| p.logged("peer alive").iter().filter(|l| l.fields["member"] == 0).count();
-    let known = || fleet.running[1..].iter().flatten().all(|p| lives(p) >= 2).then_some(());
-    until(Duration::from_secs(20), known).expect("all hear of the second process");
-    fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("all see all");
-    let gone = |l: &Line| l.fields["member"] == 0 && l.fields["state"] != "Suspect";
-    assert!(!fleet.running.iter().flatten().any(|p| p.logged("peer not alive").iter().any(gone)));
+    // One line for the incarnation of each of the two processes.
+    let incarnations =
+        |p: &Process| p.logged("peer alive").iter().filter(|l| l.fields["member"] == 0).count();
+    let all_know = || fleet.running[1..].iter().flatten().all(|p| incarnations(p) >= 2).then_some(());
+    until(Duration::from_secs(20), all_know).expect("all learn of the second process");
+    fleet.see([5, 0, 0, 0], Duration::from_secs(20)).expect("all instances see each other");
+    let is_gone = |l: &Line| l.fields["member"] == 0 && l.fields["state"] != "Suspect";
+    assert!(!fleet.running.iter().flatten().any(|p| p.logged("peer not alive").iter().any(is_gone)));
 }
