--- a/src/config/product/registry.rs
+++ b/src/config/product/registry.rs
@@ -1,4 +1,4 @@
-//! The call `registry(...)`: where the key-value registry is and how it is followed.
+//! The script call `registry(...)`: the endpoints of the key-value registry and how the instance follows it.
 
 use super::arguments::{Arguments, CallError};
 use super::MICROS_PER_MS;
@@ -8,79 +8,80 @@
 
 const MAX_PREFIX_BYTES: usize = 512;
 
-/// Where the registry is and how it is followed. Times in microseconds.
+/// Endpoints of the registry, its limits and its time limits. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Registry {
-    /// Its members.
+pub struct RegistrySettings {
+    /// Addresses of the registry's members.
     pub endpoints: Vec<SocketAddr>,
-    /// Keys below it are endpoints' records; ends with `/`.
+    /// Prefix of the keys of endpoint records; ends with `/`.
     pub prefix: String,
-    /// Keys asked for in one page of a list.
+    /// Number of keys requested in one page of a list.
     pub page: usize,
-    /// Most keys below the prefix; beyond, the last good list is kept.
-    pub most_keys: usize,
-    /// Most bytes of a record; a larger one counts as unreadable.
-    pub most_value: usize,
-    /// Most bytes of one answer.
-    pub most_message: usize,
-    /// How long a dial may take.
-    pub dial: Micros,
-    /// How long an answer may take.
-    pub answer: Micros,
-    /// Between two checks that the registry still talks and that nothing was missed.
-    pub check: Micros,
-    /// A check unanswered for so long shows that the connection is silent.
-    pub silence: Micros,
-    /// Over how long instances that lose the registry at once spread their first new try.
-    pub spread: Micros,
-    /// Longest pause between two tries.
-    pub longest_pause: Micros,
-    /// How long a registry must have stood back before it counts as restored from a backup.
-    pub restored: Micros,
-    /// The folder for the list on disk, if it is kept.
+    /// Maximum number of keys below the prefix; if there are more, the last good list is kept.
+    pub max_keys: usize,
+    /// Maximum size of a record in bytes; a larger record counts as unreadable.
+    pub max_value_bytes: usize,
+    /// Maximum size of one answer in bytes.
+    pub max_message_bytes: usize,
+    /// Time limit for establishing a connection.
+    pub dial_timeout: Micros,
+    /// Time limit for the answer to a call.
+    pub answer_timeout: Micros,
+    /// Interval between checks that the registry still answers and that no change was missed.
+    pub check_interval: Micros,
+    /// Time without an answer to a check after which the connection counts as silent.
+    pub check_timeout: Micros,
+    /// Time over which instances that lose the registry simultaneously spread their first reconnection attempts.
+    pub retry_spread: Micros,
+    /// Maximum pause between two connection attempts.
+    pub max_retry_pause: Micros,
+    /// Time for which the registry's revision must stay behind before it counts as restored from a backup.
+    pub restore_confirmation: Micros,
+    /// Folder in which the endpoint list is stored on disk, if set.
     pub snapshot: Option<PathBuf>,
 }
 
-impl Registry {
-    /// One at these endpoints, below this prefix, and all else as usual.
+impl RegistrySettings {
+    /// Creates settings with these endpoints and this prefix, and defaults for everything else.
     pub fn new(endpoints: Vec<SocketAddr>, prefix: &str) -> Self {
-        Registry {
+        RegistrySettings {
             endpoints,
             prefix: prefix.to_owned(),
             page: 500,
-            most_keys: 20_000,
-            most_value: 4_096,
-            most_message: 2 << 20,
-            dial: 400 * MICROS_PER_MS,
-            answer: 600 * MICROS_PER_MS,
-            check: 250 * MICROS_PER_MS,
-            silence: 600 * MICROS_PER_MS,
-            spread: 1_000 * MICROS_PER_MS,
-            longest_pause: 3_000 * MICROS_PER_MS,
-            restored: 10_000 * MICROS_PER_MS,
+            max_keys: 20_000,
+            max_value_bytes: 4_096,
+            max_message_bytes: 2 << 20,
+            dial_timeout: 400 * MICROS_PER_MS,
+            answer_timeout: 600 * MICROS_PER_MS,
+            check_interval: 250 * MICROS_PER_MS,
+            check_timeout: 600 * MICROS_PER_MS,
+            retry_spread: 1_000 * MICROS_PER_MS,
+            max_retry_pause: 3_000 * MICROS_PER_MS,
+            restore_confirmation: 10_000 * MICROS_PER_MS,
             snapshot: None,
         }
     }
 
-    /// The arguments of `registry(...)`, checked.
+    /// Parses and checks the arguments of `registry(...)`.
     pub(super) fn from_arguments(mut arguments: Arguments) -> Result<Self, CallError> {
         let endpoints = arguments.list("endpoints", 1..=16, parse_endpoint)?;
         let prefix = arguments.text("prefix", parse_prefix)?;
-        let mut registry = Registry::new(Vec::new(), "");
+        let mut registry = RegistrySettings::new(Vec::new(), "");
         let ms = |number: u64| number * MICROS_PER_MS;
         arguments.number("page", 1..=5_000, |number| registry.page = number as usize)?;
-        arguments.number("most_keys", 1..=60_000, |number| registry.most_keys = number as usize)?;
-        arguments.number("most_value_bytes", 64..=65_536, |number| registry.most_value = number as usize)?;
+        arguments.number("most_keys", 1..=60_000, |number| registry.max_keys = number as usize)?;
+        arguments
+            .number("most_value_bytes", 64..=65_536, |number| registry.max_value_bytes = number as usize)?;
         arguments.number("most_message_bytes", 65_536..=16 << 20, |number| {
-            registry.most_message = number as usize
+            registry.max_message_bytes = number as usize
         })?;
-        arguments.number("dial_ms", 10..=10_000, |number| registry.dial = ms(number))?;
-        arguments.number("answer_ms", 10..=30_000, |number| registry.answer = ms(number))?;
-        arguments.number("check_ms", 20..=60_000, |number| registry.check = ms(number))?;
-        arguments.number("silence_ms", 20..=60_000, |number| registry.silence = ms(number))?;
-        arguments.number("spread_ms", 0..=60_000, |number| registry.spread = ms(number))?;
-        arguments.number("longest_pause_ms", 50..=600_000, |number| registry.longest_pause = ms(number))?;
-        arguments.number("restored_ms", 0..=600_000, |number| registry.restored = ms(number))?;
+        arguments.number("dial_ms", 10..=10_000, |number| registry.dial_timeout = ms(number))?;
+        arguments.number("answer_ms", 10..=30_000, |number| registry.answer_timeout = ms(number))?;
+        arguments.number("check_ms", 20..=60_000, |number| registry.check_interval = ms(number))?;
+        arguments.number("silence_ms", 20..=60_000, |number| registry.check_timeout = ms(number))?;
+        arguments.number("spread_ms", 0..=60_000, |number| registry.retry_spread = ms(number))?;
+        arguments.number("longest_pause_ms", 50..=600_000, |number| registry.max_retry_pause = ms(number))?;
+        arguments.number("restored_ms", 0..=600_000, |number| registry.restore_confirmation = ms(number))?;
         registry.snapshot = arguments.text("snapshot", |text| Ok(PathBuf::from(text)))?;
         arguments.finish()?;
         registry.endpoints = Arguments::required("registry", "endpoints", endpoints)?;
@@ -91,11 +92,13 @@
 
 pub(super) fn parse_endpoint(text: &str) -> Result<SocketAddr, String> {
     if text.starts_with("https://") {
-        return Err(format!("'{text}' asks for TLS, which is not spoken; use the registry's plain port"));
+        return Err(format!(
+            "'{text}' requests TLS, which is not supported; use the registry's plaintext port"
+        ));
     }
     let plain = text.strip_prefix("http://").unwrap_or(text);
     plain.parse().map_err(|_| {
-        format!("'{text}' is not an address; write it as \"10.0.0.1:2379\" (names are not looked up)")
+        format!("'{text}' is not an address; write it as \"10.0.0.1:2379\" (host names are not resolved)")
     })
 }
 
--- a/src/proxy/admin.rs
+++ b/src/proxy/admin.rs
@@ -2,7 +2,7 @@
 //! [`crate::admin`] parses the commands and limits the number of connections.
 
 use super::Proxy;
-use crate::admin::{Call, Callers, Gauges};
+use crate::admin::{AdminConnections, Call, Gauges};
 use crate::lifecycle::Event;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::routing::events::Micros;
@@ -40,7 +40,7 @@
     pub(super) token: Token,
     pub(super) listener: TcpListener,
     pub(super) clients: FxHashMap<Token, AdminClient>,
-    slots: Callers<Token>,
+    slots: AdminConnections<Token>,
 }
 
 impl AdminServer {
@@ -51,7 +51,7 @@
     pub(super) fn open(address: SocketAddr, event_loop: &mut EventLoop) -> io::Result<AdminServer> {
         let mut listener = TcpListener::bind(address)?;
         let token = event_loop.add(&mut listener, Interest::READABLE)?;
-        Ok(AdminServer { token, listener, clients: FxHashMap::default(), slots: Callers::default() })
+        Ok(AdminServer { token, listener, clients: FxHashMap::default(), slots: AdminConnections::default() })
     }
 
     /// Returns whether a token belongs to the listener or one of the connections.
@@ -65,7 +65,7 @@
             let Ok((mut stream, _)) = self.listener.accept() else { return false };
             let interest = Interest::READABLE | Interest::WRITABLE;
             let Ok(token) = event_loop.add(&mut stream, interest) else { continue };
-            if let Some(evicted) = self.slots.come(token, now) {
+            if let Some(evicted) = self.slots.open(token, now) {
                 self.clients.remove(&evicted);
             }
             self.clients.insert(token, AdminClient { stream, received: Vec::new(), answer: None });
@@ -75,13 +75,13 @@
 
     fn close(&mut self, token: Token) {
         self.clients.remove(&token);
-        self.slots.left(token);
+        self.slots.remove(token);
     }
 
     /// Closes connections that have timed out. It also accepts waiting connections, because no event reports
     /// them after an accept that failed for lack of a descriptor.
     pub(super) fn sweep(&mut self, now: Micros, event_loop: &mut EventLoop) {
-        for token in self.slots.overdue(now) {
+        for token in self.slots.remove_expired(now) {
             self.clients.remove(&token);
         }
         self.accept(now, event_loop);
@@ -111,7 +111,7 @@
     fn answer(&mut self, token: Token, now: Micros, text: String) {
         if let Some(client) = self.clients.get_mut(&token) {
             client.answer = Some(text.into_bytes());
-            self.slots.called(token, now);
+            self.slots.line_received(token, now);
             self.write(token);
         }
     }
@@ -138,7 +138,7 @@
 impl AdminClient {
     /// Reads up to the end of the command's line, and discards further input. An operator that closes its
     /// sending side after the line still gets the answer.
-    fn read(&mut self) -> Result<ReadOutcome, crate::admin::NoCall> {
+    fn read(&mut self) -> Result<ReadOutcome, crate::admin::InvalidCall> {
         let mut buffer = [0; READ_CHUNK];
         loop {
             if self.answer.is_none() {
@@ -183,7 +183,7 @@
     fn execute_command(&mut self, command: Call) -> String {
         debug!(self.log, "admin command"; "command" => ?command);
         match command {
-            Call::Status if self.lifecycle.takes_clients() => "done serving\n".to_owned(),
+            Call::Status if self.lifecycle.is_serving() => "done serving\n".to_owned(),
             Call::Status => format!("error not serving: {:?}\n", self.lifecycle.phase()).to_lowercase(),
             Call::Stats => self.admin_metrics.render(self.gauges()),
             Call::Standby => self.change_phase(Event::Standby),
--- a/src/proxy/client_admission.rs
+++ b/src/proxy/client_admission.rs
@@ -50,10 +50,10 @@
                     accepted += 1;
                     self.admit(stream);
                 }
-                Err(error) => match accept::failure(&error) {
+                Err(error) => match accept::classify(&error) {
                     Failure::Empty => return,
-                    Failure::Next => self.metrics.accept_failures += 1,
-                    reason @ (Failure::NoDescriptor | Failure::Later) => {
+                    Failure::ConnectionLost => self.metrics.accept_failures += 1,
+                    reason @ (Failure::NoDescriptor | Failure::NoResources) => {
                         warn!(self.log, "accept failed"; "error" => %error);
                         return self.accept_failed(reason);
                     }
--- a/src/proxy/clients.rs
+++ b/src/proxy/clients.rs
@@ -378,10 +378,12 @@
                 had_request: client.has_sent_message(),
                 idle: idle_time,
             };
-            let closes_by_phase = lifecycle.closes(now, connection) && !client.conn.has_partial_message();
+            let closes_by_phase =
+                lifecycle.should_close(now, connection) && !client.conn.has_partial_message();
             client.conn.is_open() && client.is_idle() && (idle_time >= IDLE_TIMEOUT || closes_by_phase)
         };
-        let closes_for_shutdown = |client: &Client| lifecycle.ends_partial_messages(now) && client.is_idle();
+        let closes_for_shutdown =
+            |client: &Client| lifecycle.closes_partial_messages(now) && client.is_idle();
         let mut stalled = self.tokens_where(is_stalled);
         let buffered: usize = self.by_token.values().map(|client| client.conn.buffered_bytes()).sum();
         if buffered > max_buffered {
@@ -425,7 +427,7 @@
         // A client that closes its side has abandoned all its requests, including those just received. It is
         // sent an error only if it violated the protocol.
         let has_disconnected =
-            event.ended && client.conn.is_open() || matches!(client.conn.state(), State::Closed(_));
+            event.read_closed && client.conn.is_open() || matches!(client.conn.state(), State::Closed(_));
         if has_disconnected {
             return self.drop_client(token);
         }
@@ -441,7 +443,7 @@
             self.handle_messages(token, valid.messages);
         }
         let Some(client) = self.clients.get(&token) else { return };
-        if client.conn.is_discarding() && (event.ended || client.conn.has_peer_closed()) {
+        if client.conn.is_discarding() && (event.read_closed || client.conn.has_peer_closed()) {
             self.finish_client(token);
         }
     }
@@ -452,7 +454,7 @@
     pub(super) fn read_client(&mut self, token: Token) -> bool {
         let message_count = |proxy: &Proxy| proxy.clients.get(&token).map(|client| client.message_count);
         let before = message_count(self);
-        self.client_ready(Ready { token, readable: true, writable: false, ended: false });
+        self.client_ready(Ready { token, readable: true, writable: false, read_closed: false });
         message_count(self) != before
     }
 
@@ -476,7 +478,7 @@
                 }
             }
             ClientMessage::Request { stream, request } => {
-                if self.lifecycle.sends_clients_away() {
+                if self.lifecycle.sends_going_away() {
                     self.send_going_away(token);
                 }
                 // Writing the notice may have shown that the client has disconnected.
--- a/src/proxy/configuration.rs
+++ b/src/proxy/configuration.rs
@@ -50,7 +50,7 @@
             product_path,
             keys: config.keys.clone(),
             limits: config.limits,
-            local_cache_link: config.own_link,
+            local_cache_link: config.local_cache_link,
             reload_retries: None,
         }
     }
@@ -124,7 +124,7 @@
     fn read_files(&self) -> Result<(Config, Option<Product>), ReloadFailure> {
         let not_used = "new configuration not used";
         let read = Config::read(self.configuration.path.clone()).and_then(|new| {
-            new.follows(&self.settings, &self.configuration.keys)?;
+            new.check_reload(&self.settings, &self.configuration.keys)?;
             Ok(new)
         });
         let new = read.map_err(|error| {
@@ -148,7 +148,7 @@
 
     fn apply_configuration(&mut self, new: Config) {
         self.configuration.limits = new.limits;
-        self.configuration.local_cache_link = new.own_link;
+        self.configuration.local_cache_link = new.local_cache_link;
         self.configuration.keys = new.keys;
         if new.settings != self.settings {
             self.settings = new.settings;
@@ -182,7 +182,7 @@
         let mut limits = self.configuration.limits;
         let processes = 1 + usize::from(self.has_other_process());
         limits.sockets = limits.sockets.min(max_descriptors().saturating_mul(processes));
-        self.bounds = Bounds::of(&limits, self.admin.is_some(), self.has_other_process());
+        self.bounds = Bounds::from_limits(&limits, self.admin.is_some(), self.has_other_process());
         self.limit_local_cache();
         let settings = &self.settings.limits;
         let idle_timeout = settings.conn_idle_us / 10 * UPSTREAM_IDLE_TENTHS;
--- a/src/proxy/discovery.rs
+++ b/src/proxy/discovery.rs
@@ -5,7 +5,7 @@
 
 use super::timers::TimerEvent;
 use super::Proxy;
-use crate::config::product::Registry;
+use crate::config::product::RegistrySettings;
 use crate::config::settings::Document;
 use crate::endpoints::{Connections, EndpointList, Entry};
 use crate::lifecycle;
@@ -16,7 +16,7 @@
 use crate::registry::record;
 use crate::registry::session::{StartTime, Update};
 use crate::routing::events::{EndpointState, Event, Id, Micros};
-use crate::timestamps::{Heard, Timestamps};
+use crate::timestamps::{StartReport, Timestamps};
 use mio::Token;
 use slog::{info, warn};
 use std::net::SocketAddr;
@@ -137,11 +137,11 @@
     ) -> Entry {
         let id: Id = record.id.as_str().into();
         let received = if self.is_started {
-            Heard::AfterSilence(self.command_channel.silence(now))
+            StartReport::AfterSilence(self.command_channel.silence(now))
         } else {
-            Heard::AtStart
+            StartReport::Initial
         };
-        let started = timestamps.start(now, &id, record.started_ms, received);
+        let started = timestamps.start_time(now, &id, record.started_ms, received);
         Entry {
             id,
             address: record.address,
@@ -172,10 +172,10 @@
     timestamps: &mut Timestamps,
 ) -> Entry {
     let received = match started {
-        StartTime::RecordedOrNow => Heard::AfterSilence(0),
-        StartTime::Unknown | StartTime::Recorded => Heard::AtStart,
+        StartTime::RecordedOrNow => StartReport::AfterSilence(0),
+        StartTime::Unknown | StartTime::Recorded => StartReport::Initial,
     };
-    let recorded = timestamps.start(now, &id, endpoint.started_ms, received);
+    let recorded = timestamps.start_time(now, &id, endpoint.started_ms, received);
     Entry {
         id,
         address: endpoint.address,
@@ -228,7 +228,7 @@
     }
 
     /// Applies reloaded settings of the registry.
-    pub(super) fn reconfigure_registry(&mut self, settings: Option<&Registry>) {
+    pub(super) fn reconfigure_registry(&mut self, settings: Option<&RegistrySettings>) {
         let (Some(registry), Some(new)) = (&mut self.discovery.registry, settings) else {
             if self.discovery.has_registry() || settings.is_some() {
                 warn!(self.log, "setting change requires a restart"; "what" => "presence of a registry");
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -48,7 +48,7 @@
 use self::requests::ActiveRequests;
 use self::takeover::Takeover;
 use self::timers::{TimerEvent, MILLISECOND};
-use crate::admin::Figures as AdminMetrics;
+use crate::admin::Metrics as AdminMetrics;
 use crate::config::settings::{ClassTable, Document};
 use crate::lifecycle::Lifecycle;
 use crate::local_cache::LocalCache;
@@ -158,7 +158,7 @@
         let started = self.clock.now();
         let previous_turn = started.saturating_sub(self.now);
         self.metrics.max_turn_duration = self.metrics.max_turn_duration.max(previous_turn);
-        let next_timer = self.timers.next().unwrap_or(self.now + SWEEP_INTERVAL);
+        let next_timer = self.timers.next_due().unwrap_or(self.now + SWEEP_INTERVAL);
         let has_work = !self.unfinished_reads.is_empty() || self.discovery.has_more;
         let wait = if has_work { 0 } else { next_timer.saturating_sub(started) };
         let mut ready = std::mem::take(&mut self.ready);
@@ -174,7 +174,12 @@
     /// after its own input is read and before any input whose handling depends on it.
     fn handle_input(&mut self, ready: &mut Vec<Ready>) {
         let unfinished = std::mem::take(&mut self.unfinished_reads).into_iter();
-        ready.extend(unfinished.map(|token| Ready { token, readable: false, writable: false, ended: false }));
+        ready.extend(unfinished.map(|token| Ready {
+            token,
+            readable: false,
+            writable: false,
+            read_closed: false,
+        }));
         ready.sort_by_key(|event| self.input_order(event));
         let of_purge_log = ready.partition_point(|event| self.input_order(event) <= InputOrder::PurgeLog);
         for event in ready.drain(..of_purge_log) {
@@ -192,7 +197,7 @@
 
     /// Handles all timers that were due at `moment`.
     fn handle_due_timers(&mut self, moment: Micros) {
-        while let Some((due_at, timer)) = self.timers.due(moment) {
+        while let Some((due_at, timer)) = self.timers.pop_due(moment) {
             self.metrics.max_timer_delay = self.metrics.max_timer_delay.max(self.now - due_at);
             self.handle_timer(timer);
             self.process_events();
@@ -209,7 +214,7 @@
         if self.discovery.owns(event.token) {
             return InputOrder::Discovery;
         }
-        match (self.clients.contains(&event.token), event.ended) {
+        match (self.clients.contains(&event.token), event.read_closed) {
             (true, true) => InputOrder::DepartingClient,
             (false, _) => InputOrder::Upstream,
             (true, false) => InputOrder::Client,
--- a/src/proxy/takeover.rs
+++ b/src/proxy/takeover.rs
@@ -311,7 +311,7 @@
                 Received::Incomplete => return lifecycle_event,
                 Received::Closed => break,
             };
-            match takeover.offers.line(token, &line) {
+            match takeover.offers.handle_line(token, &line) {
                 Action::Offer => {
                     if !self.offer_listener(takeover, token) {
                         break;
@@ -330,7 +330,7 @@
             }
         }
         takeover.connected.remove(&token);
-        if takeover.offers.ended(token) {
+        if takeover.offers.handle_disconnect(token) {
             info!(self.log, "the successor has ended");
             // The socket's path has referred to the successor's socket since it began to serve.
             takeover.await_successor(self.now, &mut self.event_loop, &self.log);
@@ -378,11 +378,11 @@
         let Some(state) = takeover.and_then(|takeover| takeover.inherited_state(&self.log)) else { return };
         info!(self.log, "taking over"; "purges" => state.purges.len());
         if let Some(written_ms) = state.written_ms {
-            self.timestamps.event(self.now, written_ms);
+            self.timestamps.event_time(self.now, written_ms);
         }
         for PurgeInForce { object, group, purged_ms } in state.purges {
-            let what = object.map_or(Purge::Group(group), Purge::Object);
-            self.execute(Command::Purge { what, when_ms: purged_ms });
+            let scope = object.map_or(Purge::Group(group), Purge::Object);
+            self.execute(Command::Purge { scope, when_ms: purged_ms });
         }
     }
 
--- a/src/registry/driver.rs
+++ b/src/registry/driver.rs
@@ -13,7 +13,7 @@
 use super::session::{Action, Notice, Session, Update};
 use super::snapshot;
 use super::status::{code, Status};
-use crate::config::product::Registry as Settings;
+use crate::config::product::RegistrySettings as Settings;
 use crate::endpoints::Counts;
 use crate::net::event_loop::{EventLoop, Ready};
 use crate::routing::events::Micros;
@@ -64,7 +64,7 @@
     /// Creates a driver that may dial at once and starts with the snapshot, if a usable one exists.
     pub fn new(settings: Settings, names: Names, seed: u64, now: Micros, log: Logger) -> Self {
         let prefix = settings.prefix.clone();
-        let decoder = Decoder { prefix, names, max_value_bytes: settings.most_value };
+        let decoder = Decoder { prefix, names, max_value_bytes: settings.max_value_bytes };
         let mut session = Session::new(settings.clone(), seed, now);
         let snapshots = resume_from_snapshot(&settings, &decoder, &mut session, now, &log);
         Driver {
@@ -112,9 +112,9 @@
         let applicable = Settings {
             prefix: old.prefix.clone(),
             snapshot: old.snapshot.clone(),
-            most_keys: old.most_keys,
-            most_value: old.most_value,
-            most_message: old.most_message,
+            max_keys: old.max_keys,
+            max_value_bytes: old.max_value_bytes,
+            max_message_bytes: old.max_message_bytes,
             ..new.clone()
         };
         let is_complete = applicable == *new;
@@ -235,7 +235,7 @@
     /// Sends and receives, unless too many updates are pending. In that case, flow control stops the registry from
     /// sending, which bounds the queue of updates.
     fn receive(&mut self, now: Micros) {
-        if self.session.pending_updates() <= self.settings.most_keys {
+        if self.session.pending_updates() <= self.settings.max_keys {
             self.poll_link(now);
         }
     }
@@ -244,7 +244,7 @@
     fn poll_link(&mut self, now: Micros) {
         let Some(link) = &mut self.link else { return };
         let mut events = std::mem::take(&mut self.events);
-        match link.poll(self.settings.most_message, &mut events) {
+        match link.poll(self.settings.max_message_bytes, &mut events) {
             Polled::Nothing => {}
             Polled::Dialed(connection) => self.session.dialed(now, connection, &mut self.actions),
             Polled::DialFailed(connection) => self.session.lost(now, connection, &mut self.actions),
@@ -371,7 +371,7 @@
     log: &Logger,
 ) -> Option<Snapshots> {
     let folder = settings.snapshot.as_ref()?;
-    match snapshot::load(folder, decoder, settings.most_keys) {
+    match snapshot::load(folder, decoder, settings.max_keys) {
         Ok(list) => {
             info!(log, "registry: starting from the snapshot"; "revision" => list.revision,
                   "depots" => list.entries.len());
--- a/src/registry/session/listing.rs
+++ b/src/registry/session/listing.rs
@@ -112,7 +112,7 @@
         let call = self.next_number();
         let State::Listing { until, list, .. } = &mut self.state else { return };
         list.call = call;
-        *until = now + self.settings.answer;
+        *until = now + self.settings.answer_timeout;
         actions.push(Action::List {
             call,
             from: list.from.clone(),
@@ -180,7 +180,7 @@
         if revision == 0 || page.entries.iter().any(|entry| entry.mod_revision > revision) {
             return Err(DisconnectReason::InvalidMessage(MessageError::KeyNewerThanList));
         }
-        let max_keys = self.settings.most_keys;
+        let max_keys = self.settings.max_keys;
         let keys = page.count.max((list.entries.len() + page.entries.len()) as u64);
         if keys > max_keys as u64 {
             actions.push(Action::Notify(Notice::TooManyKeys { keys, max_keys }));
@@ -242,8 +242,10 @@
         self.counters.doubted += 1;
         let accepted = self.position.revision;
         let is_same_cluster = self.position.other_cluster(cluster).is_none();
-        let times =
-            RestoreTimes { confirmation: self.settings.restored, longest_pause: self.settings.longest_pause };
+        let times = RestoreTimes {
+            confirmation: self.settings.restore_confirmation,
+            longest_pause: self.settings.max_retry_pause,
+        };
         if self.restore_detector.observe(now, endpoint, header, is_same_cluster, times) {
             actions.push(Action::Notify(Notice::Restored { cluster, revision, accepted }));
             self.restore_detector.clear();
--- a/src/registry/session/tests.rs
+++ b/src/registry/session/tests.rs
@@ -15,7 +15,7 @@
 
 fn settings(endpoints: usize) -> Settings {
     let at = |n: usize| ([127, 0, 0, 1], 1 + n as u16).into();
-    Settings { spread: 0, page: 2, ..Settings::new((0..endpoints).map(at).collect(), "/d/") }
+    Settings { retry_spread: 0, page: 2, ..Settings::new((0..endpoints).map(at).collect(), "/d/") }
 }
 
 fn item(id: u8, state: EndpointState, create: u64, modified: u64) -> KeyEntry {
@@ -283,7 +283,7 @@
 #[test]
 fn a_missing_count_or_a_lagging_watch_times_out_and_a_differing_count_causes_a_new_list() {
     let mut harness = Harness::new(1);
-    let silence = harness.session.settings.silence;
+    let silence = harness.session.settings.check_timeout;
     for failure in 0..3 {
         let watch = harness.list(page(9 + failure, vec![item(1, Ready, 1, 1)]));
         harness.session.watch_message(harness.now, message(watch, 9, vec![]), &mut harness.actions);
@@ -338,7 +338,10 @@
         );
         assert!(attempts < 100);
     }
-    assert!(harness.now - from >= harness.session.settings.restored && attempts > 3, "{attempts} attempts");
+    assert!(
+        harness.now - from >= harness.session.settings.restore_confirmation && attempts > 3,
+        "{attempts} attempts"
+    );
     assert_eq!(harness.updates(), ["b1 Ready", "b2 removed"]);
     assert_eq!(harness.session.position.revision, 50);
     // Another cluster is accepted as soon as most members report it.
@@ -355,7 +358,7 @@
 #[test]
 fn with_too_many_keys_the_list_is_kept_and_changes_of_known_keys_are_applied() {
     let mut harness = Harness::new(1);
-    harness.session.settings.most_keys = 2;
+    harness.session.settings.max_keys = 2;
     let mut unreadable = item(2, Ready, 2, 2);
     unreadable.endpoint = Err(RecordError::Malformed("noise".to_owned()));
     let watch = harness.list(page(9, vec![item(1, Ready, 1, 1), unreadable]));
@@ -424,7 +427,7 @@
             }
         }
     }
-    let longest = harness.session.settings.longest_pause;
+    let longest = harness.session.settings.max_retry_pause;
     let count = dials.len();
     assert!((20..60).contains(&count), "{count} dials in a minute");
     assert!(dials
@@ -702,7 +705,7 @@
         member.commit(1, Some(true));
         member.commit(2, Some(true));
         // A single member that lags permanently can't be distinguished from a restored registry.
-        let settings = Settings { restored: Micros::MAX, ..settings(1) };
+        let settings = Settings { restore_confirmation: Micros::MAX, ..settings(1) };
         let mut session = Session::new(settings, 1, SECOND);
         session.fault = self.fault;
         let lagging_member = member.clone();
