--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -29,8 +29,8 @@
     client: Client,
     requests_sent: u64,
     commits: Vec<Committed>,
-    /// Intervals in which the instance couldn't learn of changes.
-    deaf: Vec<(Instant, Instant)>,
+    /// Intervals in which the instance could not learn of changes.
+    outages: Vec<(Instant, Instant)>,
     folder: PathBuf,
 }
 
@@ -120,7 +120,7 @@
             log: Vec::new(),
             requests_sent: 0,
             commits: Vec::new(),
-            deaf: Vec::new(),
+            outages: Vec::new(),
         };
         world.wait_for_log("list taken");
         world
@@ -212,7 +212,7 @@
     /// allowed.
     fn check(&self, max_delay: Duration) {
         let requests = self.notes.lock().unwrap();
-        for late in late(&self.commits, &self.deaf, &requests) {
+        for late in late(&self.commits, &self.outages, &requests) {
             assert!(late.after <= max_delay, "{late:?}\n{}", self.log.join("\n"));
         }
         assert_eq!(self.client.answers.len() as u64, self.requests_sent, "each request gets a response");
@@ -262,7 +262,7 @@
     for member in 0..3 {
         world.registry.fault(member, Fault::None);
     }
-    world.deaf.push((from, Instant::now()));
+    world.outages.push((from, Instant::now()));
     world.wait_for_log("list taken");
     world.send_requests_for(SECOND / 4);
     // All members fall silent with their connections open.
@@ -275,7 +275,7 @@
     for member in 0..3 {
         world.registry.fault(member, Fault::None);
     }
-    world.deaf.push((silent, Instant::now()));
+    world.outages.push((silent, Instant::now()));
     world.send_requests_for(SECOND);
     // Responses are doubled, fragmented and cut off in the middle.
     for (n, fault) in [Fault::Doubling, Fault::Fragments, Fault::CutAfter(40)].into_iter().enumerate() {
@@ -291,7 +291,7 @@
     for member in 0..3 {
         world.registry.fault(member, Fault::None);
     }
-    world.deaf.push((began - SECOND / 2, began));
+    world.outages.push((began - SECOND / 2, began));
     world.send_requests_for(SECOND);
     // The members announce that they are going away, and come back.
     let from = Instant::now();
@@ -299,7 +299,7 @@
         (0..3).for_each(|member| world.registry.fault(member, fault));
         world.send_requests_for(SECOND / 4);
     }
-    world.deaf.push((from, Instant::now()));
+    world.outages.push((from, Instant::now()));
     world.set_state("box-4", Some(State::Ready));
     world.send_requests_for(SECOND);
     world.wait_for_targets(&["box-4"]);
@@ -361,7 +361,7 @@
     for member in 0..3 {
         world.registry.fault(member, Fault::None);
     }
-    world.deaf.push((since - SECOND, Instant::now()));
+    world.outages.push((since - SECOND, Instant::now()));
     world.wait_for_log("list taken");
     world.send_requests_for(SECOND / 4);
     world.wait_for_targets(&["box-1"]);
@@ -409,7 +409,7 @@
     let line = world.wait_for_log("restored or replaced, its list replaces the current one");
     assert!(line.contains("0000000000000099"), "{line}");
     world.wait_for_log("list taken");
-    world.deaf.push((from, Instant::now()));
+    world.outages.push((from, Instant::now()));
     world.wait_for_targets(&["box-1"]);
     world.check(SECOND);
 }
