--- a/src/proxy/tests/handover.rs
+++ b/src/proxy/tests/handover.rs
@@ -56,7 +56,7 @@
         c["known"] = known;
         c.to_string()
     };
-    for command in Config::parse(&text, "test".into()).unwrap().known {
+    for command in Config::parse(&text, "test".into()).unwrap().known_events {
         harness.proxy.execute(command);
     }
     assert!(std::fs::read_dir(&folder).unwrap().next().is_none(), "the process accepts no clients yet");
