--- a/src/proxy/tests/command_channel.rs
+++ b/src/proxy/tests/command_channel.rs
@@ -393,8 +393,8 @@
     const NEW: &str = "s-00000007";
     type Records = fn(&Harness) -> Vec<u8>;
     let cases: [(&str, bool, Records); 3] = [
-        ("it drains", false, |harness| record(1, &harness.cache, DRAINING)),
-        ("it is replaced", true, |harness| {
+        ("endpoint drains", false, |harness| record(1, &harness.cache, DRAINING)),
+        ("endpoint replaced", true, |harness| {
             [record(1, &harness.cache, REMOVED), record(7, &harness.cache, READY)].concat()
         }),
         ("another claims its address", true, |harness| record(7, &harness.cache, READY)),
