--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -60,7 +60,7 @@
     assert_eq!(map.shards.len(), MAX_SHARDS, "the setting refuses more, so that nobody asks for it");
     let mut full = ShardMap::first(3, 1, MAX_SHARDS);
     let why = full.split(0, 1, MAX_SHARDS).unwrap_err().to_string();
-    assert!(why.contains("as many shards as may be"), "{why}");
+    assert!(why.contains("the maximum number of shards is reached"), "{why}");
 }
 
 #[test]
