--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -74,5 +74,5 @@
     };
     script::run(Path::new("x.star"), text(target::SITES as usize)).unwrap();
     let why = script::run(Path::new("x.star"), text(2 * target::SITES as usize)).unwrap_err().to_string();
-    assert!(why.contains("256 windows"), "{why}");
+    assert!(why.contains("more than 256 quiet windows and blackouts"), "{why}");
 }
--- a/tests/shards_fleet.rs
+++ b/tests/shards_fleet.rs
@@ -483,7 +483,10 @@
     let rejected = world.fleet.instances.running[0].as_ref().unwrap().logged("shard map not applied");
     let reason = |l: &Line| l.fields["reason"].as_str().unwrap_or_default().to_owned();
     let reasons: Vec<String> = rejected.iter().map(reason).collect();
-    assert!(["key was deleted", "is corrupt"].iter().all(|w| reasons.iter().any(|y| y.contains(w))), "{reasons:?}");
+    assert!(
+        ["key was deleted", "is corrupt"].iter().all(|w| reasons.iter().any(|y| y.contains(w))),
+        "{reasons:?}"
+    );
     // The window ends while the registry doesn't respond; the move is rolled back once the registry responds.
     world.wait_for_step(epoch, false);
     world.registry.fault(0, Fault::Stalled);
