--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -110,7 +110,9 @@
 fn a_member_whose_process_is_replaced_by_a_takeover_is_declared_neither_left_nor_dead() {
     let mut fleet = fleet("replaced", &Schedule::default());
     let mut old = fleet.replace(0).unwrap().unwrap();
-    let replaced = || (!old.logged("lifecycle phase changed").iter().all(|l| l.fields["is"] != "Replaced")).then_some(());
+    let replaced = || {
+        (!old.logged("lifecycle phase changed").iter().all(|l| l.fields["is"] != "Replaced")).then_some(())
+    };
     until(Duration::from_secs(20), replaced).expect("the first process hands over");
     old.signal("-TERM").unwrap();
     old.wait().unwrap();
