--- a/crates/fleet-simulation/src/follow/purges.rs
+++ b/crates/fleet-simulation/src/follow/purges.rs
@@ -38,19 +38,19 @@
             let value = |key: &str| documents.get(key).map(|d| d.value.as_slice());
             let all = changes.all || !std::mem::replace(&mut self.read, true);
             let keys: Vec<&str> = match all {
-                true => documents.below("").map(|d| d.0).collect(),
+                true => documents.with_prefix("").map(|d| d.0).collect(),
                 false => changes.keys.iter().map(String::as_str).collect(),
             };
             if all || !keys.is_empty() {
-                log.changed(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
+                log.apply_changes(now, unix_ms(now), keys.into_iter().map(|k| (k, value(k))), &mut actions);
             }
         }
-        log.confirmed(now, documents.confirmed(), &mut actions);
+        log.update_confirmation(now, documents.confirmed(), &mut actions);
         // A floor without a cut holds old copies back as well: what is missed is covered by it.
-        Shows { revision: documents.revision(), vouched: log.vouches() }
+        Shows { revision: documents.revision(), vouched: log.is_current() }
     }
 
     fn next(&self) -> Micros {
-        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next)
+        self.log.as_ref().map_or(Micros::MAX, PurgeLog::next_deadline)
     }
 }
--- a/crates/fleet-simulation/src/slopes/list.rs
+++ b/crates/fleet-simulation/src/slopes/list.rs
@@ -5,9 +5,9 @@
 use super::Effort;
 use crate::capacity::target::{Sum, ENDPOINTS, INSTANCES, REGIONS};
 use crate::capacity::{Per, Quantity, Role, Row};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
-use larchdale::registry::answers::Reader;
+use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, RangeResponse, WatchResponse};
 use larchdale::registry::record::{Names, State, StoredRecord};
@@ -54,7 +54,7 @@
 /// One instance's session and list beside a store.
 struct Follower {
     store: Store,
-    reader: Reader,
+    reader: Decoder,
     session: Session,
     list: EndpointList,
     now: u64,
@@ -79,7 +79,7 @@
         }
         let settings = Settings::new(vec![SocketAddr::from(([127, 0, 0, 1], 9))], PREFIX);
         let reader =
-            Reader { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.most_value };
+            Decoder { prefix: PREFIX.to_owned(), names: names(), max_value_bytes: settings.max_value_bytes };
         let now = 1_000 * S;
         let (session, list) = (Session::new(settings, 7, now), EndpointList::new(65_536));
         Follower { store, reader, session, list, now, watch: None, came: (0, 0), went: 0 }
@@ -204,7 +204,7 @@
             }
             self.step(watch, |s, now, a| s.tick(now, a));
             if !self.session.is_applying_list() {
-                self.now = self.now.max(self.session.next());
+                self.now = self.now.max(self.session.next_due());
             }
         }
     }
@@ -251,7 +251,7 @@
         let (mut f, mut watch) = (followed(n).0, Stopwatch::new());
         let from = f.now;
         while f.now < from + 30 * S {
-            f.now = f.session.next().max(f.now + 1);
+            f.now = f.session.next_due().max(f.now + 1);
             f.step(&mut watch, |s, now, a| s.tick(now, a));
         }
         watch.us() / 30.0
@@ -260,7 +260,7 @@
         let mut f = followed(n).0;
         let (from, went) = (f.now, f.went);
         while f.now < from + 30 * S {
-            f.now = f.session.next().max(f.now + 1);
+            f.now = f.session.next_due().max(f.now + 1);
             f.step(&mut Stopwatch::new(), |s, now, a| s.tick(now, a));
         }
         (f.went - went) as f64 / 30.0
--- a/crates/fleet-simulation/src/slopes/view.rs
+++ b/crates/fleet-simulation/src/slopes/view.rs
@@ -45,7 +45,7 @@
     fn new(size: usize, note_bytes: usize) -> Fed {
         let size = size as u16;
         let now = 1_000 * S;
-        let gossip = Gossip::new(Config::of(0, size), INCARNATION, 7, now);
+        let gossip = Gossip::new(Config::new(0, size), INCARNATION, 7, now);
         let rng = Pcg32::seed_from_u64(u64::from(size) << 8 | note_bytes as u64);
         let mut fed = Fed {
             gossip,
@@ -94,7 +94,7 @@
         self.taken = (self.taken.0 + 1, self.taken.1 + bytes.len() as u64);
         let mut actions = Vec::new();
         let (now, gossip) = (self.now, &mut self.gossip);
-        let _ = watch.time(|| gossip.received(now, from, &bytes, &mut actions));
+        let _ = watch.time(|| gossip.receive(now, from, &bytes, &mut actions));
         self.carry_out(actions);
     }
 
@@ -113,7 +113,7 @@
         loop {
             // The driver asks for it at each turn as well.
             let gossip = &self.gossip;
-            let timer = watch.time(|| gossip.next()).max(self.now);
+            let timer = watch.time(|| gossip.next_due()).max(self.now);
             let answer = self.answers.front().map_or(u64::MAX, |a| a.0);
             let next = timer.min(answer).min(self.probe);
             if next > until {
--- a/crates/fleet-simulation/src/view.rs
+++ b/crates/fleet-simulation/src/view.rs
@@ -211,7 +211,7 @@
             self.loads[member].received_bytes += bytes.len() as u64;
         }
         // Only what cores wrote is under way, and they read it.
-        let _ = gossip.received(now, from, bytes, &mut self.actions);
+        let _ = gossip.receive(now, from, bytes, &mut self.actions);
         self.after(now, member);
     }
 
@@ -232,11 +232,11 @@
                     }
                 }
                 Action::Changed { member, state, .. } => self.hold(now, by, member, state >= State::Dead),
-                Action::Noted { member } => self.noted(now, by, usize::from(member)),
+                Action::NoteReceived { member } => self.noted(now, by, usize::from(member)),
             }
         }
         self.actions = actions;
-        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next);
+        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next_due);
         self.queue.set(by, next);
     }
 
@@ -272,13 +272,13 @@
         let size = self.size();
         self.incarnations[member] = self.incarnation(member, now);
         let seed = self.seed ^ now << 16 ^ member as u64;
-        let config = Config::of(member as MemberId, size as MemberId);
+        let config = Config::new(member as MemberId, size as MemberId);
         // Not all at one moment.
         let at = now + seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) % config.probe_period;
         let mut gossip = Gossip::new(config, self.incarnations[member], seed, at);
         if now == START && !self.cold {
             let known = self.incarnations.iter().enumerate();
-            gossip.assume(known.map(|(m, &incarnation)| (m as MemberId, incarnation)));
+            gossip.preset_incarnations(known.map(|(m, &incarnation)| (m as MemberId, incarnation)));
         }
         if self.note_bytes > 0 {
             let turn = u8::from(self.changed.is_some_and(|c| c.0 == member));
--- a/crates/fleet-simulation/tests/gossip_actions.rs
+++ b/crates/fleet-simulation/tests/gossip_actions.rs
@@ -51,11 +51,13 @@
     fn start(&mut self, member: usize) {
         self.lives += 1;
         let now = self.queue.now();
-        let config = Config::of(member as MemberId, self.play.size as MemberId);
+        let config = Config::new(member as MemberId, self.play.size as MemberId);
         let incarnation = FIRST + self.lives * 1_000;
         let mut gossip = Gossip::new(config, incarnation, self.lives, now + self.lives * 7_919 % 500_000);
         if self.play.known && now == 0 {
-            gossip.assume((0..self.play.size).map(|m| (m as MemberId, FIRST + (m as u64 + 1) * 1_000)));
+            gossip.preset_incarnations(
+                (0..self.play.size).map(|m| (m as MemberId, FIRST + (m as u64 + 1) * 1_000)),
+            );
         }
         if self.play.notes {
             gossip.set_note(now, Some(vec![member as u8; member % 65]));
@@ -83,10 +85,10 @@
                     self.hash.number(u64::from(member) << 8 | state as u64);
                     self.hash.number(incarnation);
                 }
-                Action::Noted { member } => self.hash.number(1 << 40 | u64::from(member)),
+                Action::NoteReceived { member } => self.hash.number(1 << 40 | u64::from(member)),
             }
         }
-        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next);
+        let next = self.members[by].as_ref().map_or(Micros::MAX, Gossip::next_due);
         self.hash.number(next);
         self.queue.set(by, next);
     }
@@ -107,7 +109,7 @@
             }
             (Some(gossip), 2) => gossip.tick(now, &mut actions),
             (Some(gossip), 3) => {
-                let _ = gossip.received(now, 1, &[self.rng.random(), 7, 200, 1, 0, 9], &mut actions);
+                let _ = gossip.receive(now, 1, &[self.rng.random(), 7, 200, 1, 0, 9], &mut actions);
             }
             (Some(gossip), 4) => gossip.set_note(now, None),
             (Some(gossip), _) if self.play.notes => {
@@ -146,7 +148,7 @@
             Due::Event(Ev::Stir) => world.stir(),
             Due::Event(Ev::Datagram(from, to, bytes)) => {
                 if let Some(gossip) = &mut world.members[usize::from(to)] {
-                    let _ = gossip.received(now, from, &bytes, &mut actions);
+                    let _ = gossip.receive(now, from, &bytes, &mut actions);
                     world.done(usize::from(to), actions);
                 }
             }
--- a/crates/fleet-simulation/tests/limits.rs
+++ b/crates/fleet-simulation/tests/limits.rs
@@ -2,7 +2,7 @@
 //! slower. The table of docs/CAPACITY.md rests on these.
 
 use larchdale::config::product::script;
-use larchdale::failover::load_shift::{Counted, PlanBuilder, PlanError, MAX_ZONES};
+use larchdale::failover::load_shift::{LimitedInput, PlanBuilder, PlanError, MAX_ZONES};
 use larchdale::failover::site_report::{SiteObservation, SiteReport, MAX_BYTES, MAX_SITES};
 use larchdale::placement::map::{ShardMap, MAX_SHARDS};
 use larchdale::registry::documents::Settings;
@@ -17,7 +17,7 @@
 fn plans_for_more_zones_than_may_be_are_refused_with_a_word() {
     let zones = target::SITES as usize;
     let refused = PlanBuilder::new(&inputs(zones, false)).unwrap_err();
-    assert_eq!(refused, PlanError::TooMany { what: Counted::Zones, count: zones, most: MAX_ZONES });
+    assert_eq!(refused, PlanError::TooMany { input: LimitedInput::Zones, count: zones, max: MAX_ZONES });
     assert!(refused.to_string().contains("leave site_plan() out"), "{refused}");
 }
 
@@ -51,7 +51,7 @@
     };
     // A minute of growth() in a fleet of 3,300 has far more than the 64 MB that are kept.
     assert!(with(30) && !with(36));
-    assert_eq!((Settings::new(1, "/f/").most_keys, Settings::new(1, "/f/").most_bytes), (50_000, 64 << 20));
+    assert_eq!((Settings::new(1, "/f/").max_keys, Settings::new(1, "/f/").max_bytes), (50_000, 64 << 20));
 }
 
 #[test]
@@ -60,7 +60,7 @@
     assert_eq!(map.shards.len(), MAX_SHARDS, "the setting refuses more, so that nobody asks for it");
     let mut full = ShardMap::first(3, 1, MAX_SHARDS);
     let why = full.split(0, 1, MAX_SHARDS).unwrap_err().to_string();
-    assert!(why.contains("as many shards as may be"), "{why}");
+    assert!(why.contains("the maximum number of shards is reached"), "{why}");
 }
 
 #[test]
@@ -74,5 +74,5 @@
     };
     script::run(Path::new("x.star"), text(target::SITES as usize)).unwrap();
     let why = script::run(Path::new("x.star"), text(2 * target::SITES as usize)).unwrap_err().to_string();
-    assert!(why.contains("256 windows"), "{why}");
+    assert!(why.contains("more than 256 quiet windows and blackouts"), "{why}");
 }
--- a/crates/test-support/src/bin/measure-growth.rs
+++ b/crates/test-support/src/bin/measure-growth.rs
@@ -6,7 +6,7 @@
 //! is. A split is too late if the shard is full before the window of the move has ended. Baseline: split in the next
 //! window when full. What nothing foresees is told beside: shards that a flood fills which began under two days before.
 
-use larchdale::growth::buckets::{Document, Growth, Merged, Point, CELLS, ERROR};
+use larchdale::growth::buckets::{Document, GrowthCounter, GrowthHistory, Point, CELLS, STANDARD_ERROR};
 use larchdale::growth::forecast::Forecast;
 use larchdale::growth::splits::{Scheduler, Shard};
 use larchdale::growth::Settings;
@@ -42,7 +42,7 @@
     let fade = rng.random_range(24.0 * 7.0..24.0 * 28.0);
     let swell = rng.random_range(0.0..0.02) / 24.0;
     let gap = rng.random_range(2..96);
-    let (mut size, mut off) = (rng.random_range(0.0..4_000.0), ERROR * normal(&mut rng));
+    let (mut size, mut off) = (rng.random_range(0.0..4_000.0), STANDARD_ERROR * normal(&mut rng));
     let (mut truth, mut points) = (Vec::with_capacity(many), Vec::with_capacity(many));
     for n in 0..many {
         let hour = n as f64;
@@ -59,7 +59,7 @@
         size += grown;
         // The sketch's error: as much of it is made anew as the shard has grown.
         let anew = (grown / size.max(1.0)).min(1.0);
-        off = off * (1.0 - anew) + ERROR * (2.0 * anew).sqrt() * normal(&mut rng);
+        off = off * (1.0 - anew) + STANDARD_ERROR * (2.0 * anew).sqrt() * normal(&mut rng);
         truth.push(size);
         let known = !(form == 5 && (at..at + gap).contains(&n));
         let kb = size * (1.0 + off);
@@ -100,7 +100,8 @@
     let (now, end) = (truth[HISTORY - 1], truth[HISTORY + TO_COME - 1]);
     let grows = (end - now).abs().max(now * 0.05);
     let full_kb = truth[..HISTORY].iter().fold(now, |a, &b| a.max(b)) + grows * rng.random_range(0.05..1.5);
-    let shard = Shard { start: 0, last: u64::MAX, home: Some("a".into()), box_kb: full_kb / settings.split };
+    let shard =
+        Shard { start: 0, last: u64::MAX, home: Some("a".into()), capacity_kb: full_kb / settings.split };
     let full = (HISTORY..truth.len()).find(|&n| truth[n] >= full_kb);
     outcome.shards += 1;
     let mut scheduler = Scheduler::new(settings.clone());
@@ -111,8 +112,8 @@
         let forecast = Forecast::of(known, &settings);
         if full.is_some_and(|f| (f as i64 - n as i64 - 336).abs() < 12) {
             if let (Forecast::Known(t), Some(f)) = (&forecast, full) {
-                let told =
-                    t.passes(full_kb, 24 * 60)[1].map_or(24.0 * 60.0, |b| b as f64 - n as f64 - FIRST as f64);
+                let told = t.reaches(full_kb, 24 * 60)[1]
+                    .map_or(24.0 * 60.0, |b| b as f64 - n as f64 - FIRST as f64);
                 outcome.off.push((told - (f - n) as f64) / 24.0);
             }
         }
@@ -226,8 +227,8 @@
     for n in 0..SHARDS {
         let known = &histories[n % histories.len()][..HISTORY];
         let start = n as u64 * (u64::MAX / SHARDS as u64);
-        let box_kb = known[HISTORY - 1].kb * 5.0;
-        let shard = Shard { start, last: start + 1_000, home: Some("a".into()), box_kb };
+        let capacity_kb = known[HISTORY - 1].kb * 5.0;
+        let shard = Shard { start, last: start + 1_000, home: Some("a".into()), capacity_kb };
         let began = Instant::now();
         scheduler.plan(now_ms, &shard, &Forecast::of(known, &settings), &windows, 2 * HOUR_MS);
         let took = began.elapsed();
@@ -235,18 +236,18 @@
         longest = longest.max(took);
     }
     // What an instance pays for a request, and the planner for a zone's history.
-    let mut growth = Growth::new(settings.clone(), "z", "d", 1);
-    let mut merged = Merged::new(&settings);
+    let mut growth = GrowthCounter::new(settings.clone(), "z", "d", 1);
+    let mut merged = GrowthHistory::new(&settings);
     let (mut wanting, mut cells) = (Duration::ZERO, Duration::ZERO);
     for hour in 0..200u64 {
         growth.close(hour * HOUR_MS);
         let began = Instant::now();
-        (0..20_000).for_each(|n| growth.wanted(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
+        (0..20_000).for_each(|n| growth.record(hour * 15_000 + n, 0, 100.0, true, n % 16 == 0));
         wanting += began.elapsed();
         growth.close((hour + 1) * HOUR_MS);
         while let Some((key, bytes)) = growth.next() {
             if let Ok(document) = Document::decode(&bytes) {
-                let _ = merged.take(&document, (hour + 1) * HOUR_MS);
+                let _ = merged.merge(&document, (hour + 1) * HOUR_MS);
             }
             growth.written(&key);
         }
--- a/crates/test-support/src/registry/chaos.rs
+++ b/crates/test-support/src/registry/chaos.rs
@@ -2,9 +2,9 @@
 //! from a seed. The checks read what the registry committed and what the lists let through, and nothing else.
 
 use super::store::{Refused, Store};
-use larchdale::config::product::Registry as Settings;
+use larchdale::config::product::RegistrySettings as Settings;
 use larchdale::endpoints::{EndpointList, Entry};
-use larchdale::registry::answers::Reader;
+use larchdale::registry::answers::Decoder;
 use larchdale::registry::keys::range_end;
 use larchdale::registry::messages::{RangeRequest, WatchResponse};
 use larchdale::registry::record::{Names, State, StoredRecord};
@@ -146,7 +146,7 @@
     peers: Vec<Peer>,
     words: Vec<Word>,
     ids: Vec<String>,
-    reader: Reader,
+    reader: Decoder,
     plan: Plan,
     end: u64,
     out: Outcome,
@@ -154,7 +154,7 @@
 
 fn settings() -> Settings {
     let at = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
-    Settings { page: 7, ..Settings::new((1..=MEMBERS as u16).map(at).collect(), PREFIX) }
+    Settings { page_size: 7, ..Settings::new((1..=MEMBERS as u16).map(at).collect(), PREFIX) }
 }
 
 fn id(endpoint: usize) -> String {
@@ -168,7 +168,7 @@
 /// Plays one plan to its end.
 pub fn run(plan: &Plan) -> Outcome {
     let names = Names { kinds: vec!["box".to_owned()], zones: vec!["here".to_owned()] };
-    let reader = Reader { prefix: PREFIX.to_owned(), names, max_value_bytes: 4096 };
+    let reader = Decoder { prefix: PREFIX.to_owned(), names, max_value_bytes: 4096 };
     let mut rng = Pcg32::seed_from_u64(plan.seed);
     let peer = |n: usize| Peer {
         session: Session::new(settings(), plan.seed.wrapping_mul(31) + n as u64, S),
@@ -580,7 +580,7 @@
             self.out.current = self.now;
         }
         self.peers[peer].follows = follows;
-        let next = self.peers[peer].session.next().max(self.now + 1);
+        let next = self.peers[peer].session.next_due().max(self.now + 1);
         if next < self.peers[peer].wake {
             self.peers[peer].wake = next;
             self.at(next, Ev::Wake(peer));
--- a/tests/settings_forms.rs
+++ b/tests/settings_forms.rs
@@ -1,12 +1,12 @@
-//! The keys of the configuration, of the settings script and of the deployment's settings, with a known value behind
-//! each: a renamed key fails here. The files that are delivered (`deploy`, `examples`) are read too.
+//! Tests that the configuration, the settings script and the deployment's settings keep their keys: each key is read
+//! with a known value, so that a renamed key fails. The delivered files in `deploy` and `examples` are read as well.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
 
 use fixtures::same_as_stored;
 use larchdale::config::platform::{Config, Limits as ProcessLimits, Peering};
-use larchdale::config::product::{self, script, LogForm, Product, Registry};
+use larchdale::config::product::{self, script, LogFormat, Product, RegistrySettings};
 use larchdale::config::settings::{ClassEntry, Document, Domain, Limits, Rules};
 use larchdale::net::protocol::command_channel::{Command, Purge, Record, State};
 use larchdale::placement::quiet::{Calendar, Window};
@@ -92,23 +92,23 @@
         record("s-00000003", 9_103, State::Gone),
     ];
     vec![
-        Command::Endpoints { whole: true, records },
-        Command::Purge { what: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 },
-        Command::Purge { what: Purge::Group(17), when_ms: 902 },
+        Command::Endpoints { complete: true, records },
+        Command::Purge { scope: Purge::Object(0x7f3a_9c21_e0b4_d655), when_ms: 901 },
+        Command::Purge { scope: Purge::Group(17), when_ms: 902 },
     ]
 }
 
 #[test]
-fn every_key_of_the_configuration() {
+fn every_key_of_the_configuration_is_read() {
     let config = Config::parse(CONFIGURATION, "config.json".into()).unwrap();
     assert_eq!(config.settings, settings());
-    assert_eq!(config.known, known_commands());
-    let name_and_places = (config.name.as_str(), config.listen, config.management, config.channel);
+    assert_eq!(config.known_events, known_commands());
+    let name_and_addresses = (config.name.as_str(), config.listen, config.management, config.channel);
     let address = |port: u16| ([127, 0, 0, 1], port).into();
-    assert_eq!(name_and_places, ("example", address(9_090), Some(address(9_091)), address(9_379)));
+    assert_eq!(name_and_addresses, ("example", address(9_090), Some(address(9_091)), address(9_379)));
     assert_eq!((config.seed, config.cursor), (0x8c1f_30d2_7a5b_e964, 5));
     assert_eq!(config.limits, ProcessLimits { sockets: 1_024, memory_mb: 192 });
-    assert_eq!(config.own_link, (310_000.0, 1_240_000.0));
+    assert_eq!(config.local_cache_link, (310_000.0, 1_240_000.0));
     let members = vec![address(9_201), address(9_202), address(9_203)];
     let peering = Peering { me: 1, listen: address(9_202), members, datagrams_per_s: 55 };
     assert_eq!(config.peering, Some(peering));
@@ -117,12 +117,12 @@
 }
 
 #[test]
-fn the_example_configuration() {
+fn the_example_configuration_is_read() {
     let text = include_str!("../examples/config.json");
     let config = Config::parse(text, "examples/config.json".into()).unwrap();
     assert_eq!((config.name.as_str(), config.cursor, config.seed), ("example", 1, 0x8c1f_30d2_7a5b_e964));
-    let [Command::Endpoints { whole: true, records }] = &config.known[..] else {
-        panic!("{:?}", config.known)
+    let [Command::Endpoints { complete: true, records }] = &config.known_events[..] else {
+        panic!("{:?}", config.known_events)
     };
     let records: Vec<_> = records.iter().map(|r| (r.id.as_str(), r.zone, r.kind, r.weight)).collect();
     let endpoints = [
@@ -146,33 +146,33 @@
 
 fn product() -> Product {
     let endpoints = |port: u16| vec![([10, 0, 0, 1], port).into(), ([10, 0, 0, 2], port).into()];
-    let moment = |text: &str| text.parse().unwrap();
+    let timestamp = |text: &str| text.parse().unwrap();
     let weekly = Window::Weekly {
         days: 0b100_0101,
         from: 22 * 60 + 30,
         to: 4 * 60 + 5,
         zone: jiff::tz::TimeZone::get("America/Vancouver").unwrap(),
     };
-    let once = Window::Once(moment("2026-12-25T06:00:00Z"), moment("2026-12-26T12:00:00Z"));
-    let blackout = (moment("2027-01-01T04:00:00Z"), moment("2027-01-01T12:00:00Z"));
+    let once = Window::Once(timestamp("2026-12-25T06:00:00Z"), timestamp("2026-12-26T12:00:00Z"));
+    let blackout = (timestamp("2027-01-01T04:00:00Z"), timestamp("2027-01-01T12:00:00Z"));
     Product {
-        registry: Some(Registry {
+        registry: Some(RegistrySettings {
             endpoints: endpoints(2_379),
             prefix: "/larchdale/depots/".to_owned(),
-            page: 501,
-            most_keys: 20_001,
-            most_value: 4_097,
-            most_message: 2_097_153,
-            dial: 401_000,
-            answer: 601_000,
-            check: 251_000,
-            silence: 602_000,
-            spread: 1_001_000,
-            longest_pause: 3_001_000,
-            restored: 10_001_000,
+            page_size: 501,
+            max_keys: 20_001,
+            max_value_bytes: 4_097,
+            max_message_bytes: 2_097_153,
+            dial_timeout: 401_000,
+            answer_timeout: 601_000,
+            check_interval: 251_000,
+            check_timeout: 602_000,
+            retry_spread: 1_001_000,
+            max_retry_pause: 3_001_000,
+            restore_confirmation: 10_001_000,
             snapshot: Some("/var/lib/larchdale".into()),
         }),
-        log: Some(LogForm::Json),
+        log: Some(LogFormat::Json),
         site_plan: Some(failover::Settings {
             suspect_after: 1_001_000,
             unreachable_after: 2_501_000,
@@ -209,10 +209,10 @@
         purge_log: Some(purges::log::Settings {
             endpoints: endpoints(2_381),
             prefix: "/larchdale/purges/".to_owned(),
-            staleness: 1_001_000,
-            skew: 251_000,
-            check: 252_000,
-            silence: 401_000,
+            max_staleness: 1_001_000,
+            max_clock_skew: 251_000,
+            check_interval: 252_000,
+            check_timeout: 401_000,
         }),
         growth: Some(growth::Settings {
             bucket: 3_600_001_000,
@@ -228,28 +228,28 @@
 }
 
 #[test]
-fn every_key_of_the_settings_script() {
-    let read =
+fn every_argument_of_the_settings_script_is_read_and_described() {
+    let settings =
         script::run(Path::new("all.star"), include_str!("fixtures/settings/all.star").to_owned()).unwrap();
-    assert_eq!(read, product());
-    let described = format!("{:#}\n", product::describe(&read));
+    assert_eq!(settings, product());
+    let described = format!("{:#}\n", product::describe(&settings));
     same_as_stored("settings/check-output.json", described.as_bytes());
 }
 
 #[test]
-fn the_delivered_scripts() {
+fn the_delivered_scripts_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deployed = script::read(&root.join("deploy/larchdale.star")).unwrap();
-    assert_eq!(deployed, Product { log: Some(LogForm::Text), ..Product::default() });
+    assert_eq!(deployed, Product { log: Some(LogFormat::Text), ..Product::default() });
     let example = script::read(&root.join("examples/registry.star")).unwrap();
     let endpoints = [9_471, 9_472, 9_473].map(|port| ([127, 0, 0, 1], port).into());
-    let registry = Registry::new(endpoints.to_vec(), "/larchdale/example/");
+    let registry = RegistrySettings::new(endpoints.to_vec(), "/larchdale/example/");
     assert_eq!(example, Product { registry: Some(registry), ..Product::default() });
 }
 
-/// What stands in comments of the delivered script is what operators uncomment: it has to be right too.
+/// The commented calls in the delivered script must be valid, because operators uncomment them.
 #[test]
-fn the_commented_calls_of_the_delivered_script() {
+fn the_commented_calls_of_the_delivered_script_are_valid() {
     let text = include_str!("../deploy/larchdale.star");
     let is_code = |line: &&str| line.starts_with("#     ") || line.ends_with(')') || line.ends_with('(');
     let uncomment = |line: &str| line.strip_prefix("# ").unwrap_or(line).to_owned() + "\n";
@@ -259,9 +259,9 @@
     same_as_stored("settings/deploy-uncommented.json", described.as_bytes());
 }
 
-/// The deployment's own file: its keys, and the command lines that the platform starts.
+/// Checks the keys of the deployment file and the commands that the platform runs.
 #[test]
-fn the_keys_of_the_deployment() {
+fn the_deployment_file_keeps_its_keys_and_commands() {
     let text = include_str!("../deploy/balancer.toml");
     let lines = text.lines().filter_map(|line| line.split_once(" = "));
     let keys: Vec<&str> = lines.clone().map(|line| line.0).collect();
